--- a/src/tideusher/actors/command_sender.py
+++ b/src/tideusher/actors/command_sender.py
@@ -26,9 +26,7 @@
 class CommandSender:
     """Calls workers, each on one connection: of one that hangs many calls would wait."""
 
-    def __init__(
-        self, max_sockets: int, spawn: Callable[..., Any], answered: Callable[[int, bytes], None]
-    ) -> None:
+    def __init__(self, max_sockets: int, spawn: Callable[..., Any], answered: Callable[[int, bytes], None]) -> None:
         """`answered` is given the token of a call and the report in its answer."""
         self.log = logging.getLogger("leader")
         self._kept = max_sockets // DIRECT_PART
--- a/src/tideusher/actors/peers.py
+++ b/src/tideusher/actors/peers.py
@@ -296,9 +296,7 @@
     def refuses(self, node: str) -> bool:
         """Did our connection to this controller end, and does it refuse a new one, for long enough to say so?"""
         link = self.links.get(node)
-        return (
-            link is not None and link.refused_us is not None and self._clock.now_us() - link.refused_us >= LOST_US
-        )
+        return link is not None and link.refused_us is not None and self._clock.now_us() - link.refused_us >= LOST_US
 
     def any_in_contact(self) -> bool:
         """Does any peer that we hear reach the state service?"""
--- a/src/tideusher/core/picture/picture.py
+++ b/src/tideusher/core/picture/picture.py
@@ -477,7 +477,6 @@
         return audit.unlike(self, key, value)
 
 
-
 def in_order(names: Iterable[str]) -> list[str]:
     """Keys in the order in which one record rests on another."""
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,6 +1,5 @@
 """One test per safety invariant of docs/safety.md; each fails when its guard is taken out."""
 
-
 from standins import job
 from tideusher.core.lead.reports import Reports
 from tideusher.core.picture import keys
--- a/tools/measure_takeover.py
+++ b/tools/measure_takeover.py
@@ -12,7 +12,7 @@
 
 import click
 
-PART = r'''
+PART = r"""
 import json, resource, sys, time
 from tideusher.config import (CloudSettings, Config, Endpoints, Policy, Site, StateSettings, Team, WorkerSettings)
 from tideusher.metrics import Metrics
@@ -90,7 +90,7 @@
     total, most = total + ms, max(most, ms)
 print(json.dumps({"takeover": takeover, "hold": longest, "pass": total, "piece": most, "followed": follow,
                   "mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024}))
-'''
+"""
 
 
 def measure(tree: str, machines: int, jobs: int) -> dict[str, float]:
