--- a/src/tideusher/actors/gateway.py
+++ b/src/tideusher/actors/gateway.py
@@ -23,7 +23,7 @@
 from tideusher.core.decide.cancellations import Cancellations, halts, rectified
 from tideusher.core.decide.routing import Directions, Door, Ear
 from tideusher.core.model import keys
-from tideusher.core.model.contacts import Own
+from tideusher.core.model.contacts import LocalContacts
 from tideusher.core.model.records import JOB_CANCELLED
 from tideusher.wire import workers
 from tideusher.wire.peers import ForwardReport
@@ -54,7 +54,7 @@
         election: Election,
         leader: Leader,
         peers: Peers,
-        own: Own | None = None,
+        own: LocalContacts | None = None,
         cancellations: Cancellations | None = None,
     ) -> None:
         self.log = logging.getLogger("gateway")
@@ -62,7 +62,7 @@
         self._store, self._election, self._leader, self._peers = store, election, leader, peers
         self._directions = Directions()
         self._ear = Ear(config.settings.workers)
-        self._own = own or Own(to_us(config.settings.workers.report_s))
+        self._own = own or LocalContacts(to_us(config.settings.workers.report_s))
         self._cancellations = cancellations or Cancellations(0)
 
     def deaf(self) -> bool:
--- a/src/tideusher/actors/leader.py
+++ b/src/tideusher/actors/leader.py
@@ -29,8 +29,8 @@
 from tideusher.core.lead.soft_state import tell as tell_soft
 from tideusher.core.lead.standby import Standby
 from tideusher.core.model import keys
-from tideusher.core.model.cluster_state import Picture
-from tideusher.core.model.contacts import Own, Sightings
+from tideusher.core.model.cluster_state import ClusterState
+from tideusher.core.model.contacts import LocalContacts, WorkerContacts
 from tideusher.core.model.records import RETURNING, Machine
 from tideusher.core.model.rentals import Rental
 from tideusher.core.model.write_queue import Batch
@@ -83,7 +83,7 @@
         self._standby = Standby(config, policy, clock.wall_us, self._record_of, lambda: store.mirror)
         self._following = False  # is a piece of following under way?
         self._standings: Callable[[], list[Standing]] = list
-        self._sightings = Sightings(Own(to_us(config.settings.workers.report_s)))
+        self._sightings = WorkerContacts(LocalContacts(to_us(config.settings.workers.report_s)))
         self._told: Told | None = None  # what the last leader told that no record holds
         self._soft: Soft | None = None  # what we tell as a leader, made anew twice a second
         self._soft_us = 0
@@ -128,9 +128,9 @@
         """Where to ask which versions the other controllers are of, as far as they are heard."""
         self._standings = standings
 
-    def hear_sightings(self, sightings: Sightings) -> None:
+    def hear_sightings(self, contacts: WorkerContacts) -> None:
         """Where to ask which workers each controller hears."""
-        self._sightings = sightings
+        self._sightings = contacts
 
     def hear_soft(self, soft: Soft) -> None:
         """A leader told what no record holds."""
@@ -149,7 +149,7 @@
         """Changes that we have yet to apply to the picture that we follow; None: we follow none."""
         if self._engine is not None:
             return 0
-        return self._standby.behind if self._standby.picture is not None else None
+        return self._standby.behind if self._standby.cluster_state is not None else None
 
     def _on_change(self, key: str, value: object, stamp: int) -> None:
         if key == keys.LEADER and value is not None:
@@ -178,17 +178,17 @@
         """Is what was followed still what the records say? A few of them each time."""
         if self._engine is not None or not self._store.loaded.is_set():
             return
-        if self._standby.picture is None:
+        if self._standby.cluster_state is None:
             self._standby.begin(self._clock.now_us())
         elif self._standby.audit(self._clock.now_us()):
             self._metrics.count("standby_rebuilds")
         if self._standby.behind:
             self._follow()
         now_us = self._clock.now_us()
-        picture = self._standby.picture
-        if picture is not None:
-            for zone in self._sightings.heard_zones(lambda name: _zone_of(picture, name), now_us):
-                picture.zones.heard(zone, now_us)
+        cluster_state = self._standby.cluster_state
+        if cluster_state is not None:
+            for zone in self._sightings.all_reporting_zones(lambda name: _zone_of(cluster_state, name), now_us):
+                cluster_state.zones.heard(zone, now_us)
 
     # ---------------------------------------------------------------- leadership
 
@@ -263,9 +263,11 @@
         self.log.info("stood still for %.1f s: silence counts from now", to_s(for_us))
         self._metrics.count("stood_still")
         self._sightings.own.stood_still(for_us, now_us)
-        picture = self._engine.cluster.picture if self._engine is not None else self._standby.picture
-        if picture is not None:
-            picture.zones.stood_still(now_us)
+        cluster_state = (
+            self._engine.cluster.cluster_state if self._engine is not None else self._standby.cluster_state
+        )
+        if cluster_state is not None:
+            cluster_state.zones.stood_still(now_us)
         self._election.stood_still(for_us, now_us)
 
     def _give_way(self, engine: Engine | None) -> None:
@@ -372,7 +374,7 @@
             self._clock.wall_us,
             self._metrics,
             self._record_of,
-            picture=caught.picture,
+            cluster_state=caught.cluster_state,
             value_of=self._value_of,
         )
         self._phase("check records")
@@ -418,10 +420,10 @@
 
     def on_cancelled_here(self, job_id: str) -> None:
         """We told a user that a job is cancelled. If its leader cannot hear of that now, its workers do from us."""
-        known, picture = self._election.leader(), self._standby.picture
-        if self._engine is not None or picture is None or known is None or self._reads(known[0]):
+        known, cluster_state = self._election.leader(), self._standby.cluster_state
+        if self._engine is not None or cluster_state is None or known is None or self._reads(known[0]):
             return
-        job = picture.jobs.get(job_id)
+        job = cluster_state.jobs.get(job_id)
         if job is not None:
             self._halts.halt(job, known[1], self._address_of)
 
@@ -701,6 +703,6 @@
         self.tell("not_saved", engine, self._store.sync(), False, unknown)  # `sync` says False whatever it met
 
 
-def _zone_of(picture: Picture, machine: str) -> str | None:
-    known = picture.machines.get(machine)
+def _zone_of(cluster_state: ClusterState, machine: str) -> str | None:
+    known = cluster_state.machines.get(machine)
     return known.zone if known is not None else None
--- a/src/tideusher/core/decide/boots.py
+++ b/src/tideusher/core/decide/boots.py
@@ -37,7 +37,7 @@
     def came_up(self, machine: Machine, now_us: int) -> None:
         """A machine reports for the first time. One inherited may have been up for long."""
         kind = (machine.type, machine.zone)
-        if not machine.inherited and (machine.rented_here or machine.listed):
+        if not machine.inherited and (machine.saw_rental_answer or machine.listed):
             self._took.setdefault(kind, deque(maxlen=KEPT)).append(now_us - machine.rented_us)
             self._came.setdefault(kind, deque(maxlen=KEPT)).append(machine.rented_us)
 
--- a/src/tideusher/core/decide/conditions.py
+++ b/src/tideusher/core/decide/conditions.py
@@ -110,8 +110,8 @@
         spec = job.spec
         if job.status == OPEN:
             if spec.not_before is not None and to_us(spec.not_before) > self._c.wall_us():
-                job.early_us = to_us(spec.not_before)
-                heapq.heappush(self._early, (job.early_us, spec.id))
+                job.start_after_us = to_us(spec.not_before)
+                heapq.heappush(self._early, (job.start_after_us, spec.id))
             if spec.after:
                 self._name(job)
                 self._look_back(job, now_us)
@@ -192,8 +192,8 @@
         wall_us = self._c.wall_us()
         while self._early and self._early[0][0] <= wall_us:
             job = self._c.jobs.get(heapq.heappop(self._early)[1])
-            if job is not None and job.early_us:
-                job.early_us = 0
+            if job is not None and job.start_after_us:
+                job.start_after_us = 0
                 self._c.park_or_wake(job, now_us)
         left = PIECE
         while self._work and left:
--- a/src/tideusher/core/decide/fleet.py
+++ b/src/tideusher/core/decide/fleet.py
@@ -243,12 +243,12 @@
         population: dict[str, int] = {}
         for machine in machines:
             population[machine.zone] = population.get(machine.zone, 0) + 1
-            if machine.draining:
+            if machine.drain_reason:
                 continue
             if machine.phase == BOOTING:
                 # One inherited that has yet to be heard may hold tasks: what they take may come free soon, as on any
                 # machine; nobody has told us yet for how long they run.
-                free = (machine.free_cpus, machine.free_gpus, machine.free_ram)
+                free = (machine.free_cpus, machine.free_gpus, machine.free_ram_gb)
                 bins.append(Bin(machine.type, machine.zone, machine.spot, *free))
                 if machine.tasks:
                     held = (machine.cpus - free[0], machine.gpus - free[1], machine.ram_gb - free[2])
@@ -292,7 +292,7 @@
             elif left == count and not job.live:
                 nothing.refused(asks, job.spec, 1)
         free_bins = [
-            Bin(m.type, m.zone, m.spot, m.free_cpus, m.free_gpus, m.free_ram) for m in warm_room if not m.reserved
+            Bin(m.type, m.zone, m.spot, m.free_cpus, m.free_gpus, m.free_ram_gb) for m in warm_room if not m.reserved
         ]
         offered = Bins([*free_bins, *bins, *rented], Demand.least_of(spec for spec, _ in self.warm))
         for spec, count in self.warm:
@@ -321,7 +321,7 @@
         """
         kind = self.types.get(machine.type)
         horizon_us = to_us(kind.boot_s * self._policy.fleet__patience) if kind else 0
-        room = [machine.free_cpus, machine.free_gpus, machine.free_ram]
+        room = [machine.free_cpus, machine.free_gpus, machine.free_ram_gb]
         ending = False
         for task in machine.tasks.values():
             if task.running_us is None or task.job.is_service:
@@ -435,12 +435,12 @@
     def surplus(self, now_us: int, machines: Sequence[Machine]) -> list[tuple[Machine, str]]:
         """Idle machines to return, with the reason; warm room is kept."""
         idle_us = to_us(self._policy.fleet__idle_s)
-        kept = [m for m in machines if m.phase == UP and not m.draining and not m.reserved]
+        kept = [m for m in machines if m.phase == UP and not m.drain_reason and not m.reserved]
         idle = [m for m in kept if not m.tasks and now_us - m.idle_since_us >= idle_us]
         if not idle:
             return []
         least = Demand.least_of(spec for spec, _ in self.warm)
-        warm = {m.name: m for m in kept if least.fits(m.free_cpus, m.free_gpus, m.free_ram)}
+        warm = {m.name: m for m in kept if least.fits(m.free_cpus, m.free_gpus, m.free_ram_gb)}
         unmet = _unmet(self.warm, warm.values())
         out = []
         for machine in sorted(idle, key=lambda m: (not m.slow, m.spot, len(m.images), m.name)):
@@ -455,7 +455,7 @@
 
 def _unmet(warm: Sequence[tuple[JobSpec, int]], machines: Iterable[Machine]) -> int:
     """How many tasks of the warm room find no place in the free room of these machines."""
-    rooms = [(m, [m.free_cpus, m.free_gpus, m.free_ram]) for m in sorted(machines, key=lambda m: not m.spot)]
+    rooms = [(m, [m.free_cpus, m.free_gpus, m.free_ram_gb]) for m in sorted(machines, key=lambda m: not m.spot)]
     missing = 0
     for spec, count in warm:
         left = count
--- a/src/tideusher/core/decide/gang_reservations.py
+++ b/src/tideusher/core/decide/gang_reservations.py
@@ -115,7 +115,7 @@
         for _, _, job, count in sorted(waits, key=lambda one: (before is None or one[2] is not before[0], one[:2])):
             zones: dict[str, list[tuple[int, str, int]]] = {}
             for machine in machines:
-                if machine.draining or machine.phase not in (BOOTING, UP) or not machine.allows(job.spec):
+                if machine.drain_reason or machine.phase not in (BOOTING, UP) or not machine.allows(job.spec):
                     continue
                 room = _once_idle(machine, job)
                 if room > 0:  # though stops were made there for another: that is over soon
@@ -203,7 +203,7 @@
     """
 
     def __init__(self, machines: Iterable[Machine]) -> None:
-        self._machines = [m for m in machines if not m.draining and m.phase in (BOOTING, UP)]
+        self._machines = [m for m in machines if not m.drain_reason and m.phase in (BOOTING, UP)]
         self._known: dict[tuple[object, ...], tuple[dict[str, int], dict[str, int]]] = {}
 
     def of(self, job: Job) -> tuple[dict[str, int], dict[str, int]]:
--- a/src/tideusher/core/decide/health.py
+++ b/src/tideusher/core/decide/health.py
@@ -4,7 +4,7 @@
 from tideusher.config import Config, Policy
 from tideusher.core.decide.boots import Boots
 from tideusher.core.decide.fleet import Fleet
-from tideusher.core.model.contacts import Zones
+from tideusher.core.model.contacts import ZoneContacts
 from tideusher.core.model.records import BOOTING, UP, Machine
 from tideusher.wire import cloud
 
@@ -19,13 +19,13 @@
         machines: dict[str, Machine],
         fleet: Fleet,
         now_us: int,
-        zones: Zones | None = None,
+        zones: ZoneContacts | None = None,
     ) -> None:
         self._config, self._policy, self._machines, self._fleet = config, policy, machines, fleet
         self._began_us = now_us
         self.boots = Boots(fleet.types, policy.fleet__boot_patience)
         self._surveyed_us = now_us  # when the cloud's list came last
-        self._zones = zones or Zones(to_us(config.settings.workers.report_s))
+        self._zones = zones or ZoneContacts(to_us(config.settings.workers.report_s))
         self._silence_us = max(
             to_us(policy.fleet__silence_reports * config.settings.workers.report_s),
             to_us(policy.fleet__silence_floor_s),
@@ -43,7 +43,7 @@
         """
         heard_us = self._zones.since_us(machine.zone, now_us)
         if machine.phase == UP:
-            return now_us - max(machine.reported_us, heard_us) > self._silence_us
+            return now_us - max(machine.last_contact_us, heard_us) > self._silence_us
         if machine.phase == BOOTING and machine.seen_us:
             return now_us - max(machine.seen_us, heard_us) > self._silence_us
         if machine.phase == BOOTING and machine.inherited and self._should_be_up(machine):
@@ -96,9 +96,9 @@
             m
             for m in self._machines.values()
             if m.phase == UP
-            and m.recall_us is not None
-            and now_us > m.recall_us
-            and now_us - m.reported_us > silence_us
+            and m.recall_deadline_us is not None
+            and now_us > m.recall_deadline_us
+            and now_us - m.last_contact_us > silence_us
         ]
 
     def overdue(self, now_us: int) -> list[Machine]:
--- a/src/tideusher/core/decide/limits.py
+++ b/src/tideusher/core/decide/limits.py
@@ -64,7 +64,7 @@
                 self._c.over_limit(task)
             else:
                 waiting.append((end_us, number, task))
-                if first is None and machine.reported_us > end_us:
+                if first is None and machine.last_contact_us > end_us:
                     self._first[task] = machine.serial
         for one in waiting:
             heapq.heappush(self._ends, one)
--- a/src/tideusher/core/decide/mass_failures.py
+++ b/src/tideusher/core/decide/mass_failures.py
@@ -173,7 +173,7 @@
             return
         machine.probes_failed += 1
         machine.found = TAKEN if taken else NO_WAY
-        machine.asked_us = now_us
+        machine.last_probe_us = now_us
 
     def shaky(self, zone: str) -> bool:
         """Are many machines of the zone silent, as of the last look?"""
@@ -186,7 +186,7 @@
         """
         if machine.name in self._silent or reachability.deaf(machine, now_us):
             return True
-        return machine.zone in self._shaky and now_us - machine.reported_us > self._report_us * 3 // 2
+        return machine.zone in self._shaky and now_us - machine.last_contact_us > self._report_us * 3 // 2
 
     # ---------------------------------------------------------------- one look
 
@@ -225,7 +225,7 @@
     def _judge(self, zone: str, silent: list[Machine], heard: list[Machine], now_us: int) -> Verdict:
         # Evidence counts only from after the silence began: who was heard before it proves nothing of it.
         last_us = max(machine.last_us for machine in silent)
-        witnesses = sum(m.zone == zone and m.reported_us > last_us for m in heard)
+        witnesses = sum(m.zone == zone and m.last_contact_us > last_us for m in heard)
         linked = zone in self.linked
         others = () if witnesses else self._control_us.values()
         control_us = max([self._control_us.get(zone, -CONTROL_US), *others])
@@ -258,9 +258,9 @@
         """Those not asked yet first, then those asked longest ago."""
         return [
             Probe(machine)
-            for machine in sorted(silent, key=lambda m: (m.probes_failed > 0, m.asked_us, m.name))
+            for machine in sorted(silent, key=lambda m: (m.probes_failed > 0, m.last_probe_us, m.name))
             if machine.name not in probing
-            and now_us - machine.asked_us >= (HANGS_AGAIN_US if machine.found == TAKEN else AGAIN_US)
+            and now_us - machine.last_probe_us >= (HANGS_AGAIN_US if machine.found == TAKEN else AGAIN_US)
         ]
 
     def _controls(self, zone: str, heard: list[Machine], now_us: int, probing: Set[str]) -> list[Probe]:
@@ -269,18 +269,18 @@
             return []
         own = [machine for machine in heard if machine.zone == zone]
         pool = [machine for machine in own or heard if machine.name not in probing]
-        pool.sort(key=lambda machine: (machine.asked_us, -machine.reported_us, machine.name))
+        pool.sort(key=lambda machine: (machine.last_probe_us, -machine.last_contact_us, machine.name))
         chosen = pool[:CONTROLS]
         if chosen:
             self._called_us[zone] = now_us
         for machine in chosen:
-            machine.asked_us = now_us  # another next time: one may be about to fall itself
+            machine.last_probe_us = now_us  # another next time: one may be about to fall itself
         return [Probe(machine, True) for machine in chosen]
 
     def _heard(self, now_us: int) -> list[Machine]:
         """Machines that have reported within an interval and a half."""
         since_us = now_us - self._report_us * 3 // 2
-        return [m for m in self._machines.values() if m.phase == UP and m.reported_us > since_us and m.address]
+        return [m for m in self._machines.values() if m.phase == UP and m.last_contact_us > since_us and m.address]
 
     def _fallen(self, silent: list[Machine], verdict: Verdict, now_us: int) -> list[tuple[Machine, str]]:
         """Those of a zone's silent machines that are given up now, with the evidence against each."""
@@ -330,12 +330,12 @@
         """What the tasks of machines that hang could have at once on machines that are heard."""
         crowded, out = self._crowded(), []
         for machine in self._heard(now_us):
-            if machine.draining:
+            if machine.drain_reason:
                 continue
             weak = [task.job.spec for task in machine.tasks.values() if self._yields(task.job)]
             more = (sum(s.cpus for s in weak), sum(s.gpus for s in weak), sum(s.ram_gb for s in weak))
             if machine.free_gpus > 0 or weak:
-                out.append(_Room(machine, machine.free_cpus, machine.free_gpus, machine.free_ram, more, crowded))
+                out.append(_Room(machine, machine.free_cpus, machine.free_gpus, machine.free_ram_gb, more, crowded))
         return out
 
     @staticmethod
--- a/src/tideusher/core/decide/placement.py
+++ b/src/tideusher/core/decide/placement.py
@@ -153,7 +153,7 @@
 
     def _put(self, part: int, machine: Machine) -> None:
         """Enter a machine anew, as it is now; older entries are passed over when they come up."""
-        count = slots_in(machine.free_cpus, machine.free_gpus, machine.free_ram, self._spec)
+        count = slots_in(machine.free_cpus, machine.free_gpus, machine.free_ram_gb, self._spec)
         self._sums[part] += count - self._room[machine.name]
         self._room[machine.name] = count
         if count:
@@ -167,7 +167,7 @@
             not machine.spot,
             machine.free_gpus,
             machine.free_cpus,
-            machine.reported_us,
+            machine.last_contact_us,
             machine.name,
         )
 
@@ -198,7 +198,7 @@
 
 def slots(machine: Machine, job: Job) -> int:
     """How many tasks of the job the machine's free room holds."""
-    return slots_in(machine.free_cpus, machine.free_gpus, machine.free_ram, job.spec)
+    return slots_in(machine.free_cpus, machine.free_gpus, machine.free_ram_gb, job.spec)
 
 
 def slots_in(cpus: float, gpus: float, ram: float, spec: JobSpec) -> int:
@@ -250,7 +250,7 @@
             not pair[0].spot,
             pair[0].free_gpus,
             pair[0].free_cpus,
-            pair[0].reported_us,  # who reported longest ago asks soonest, and starts with the answer
+            pair[0].last_contact_us,  # who reported longest ago asks soonest, and starts with the answer
             pair[0].name,
         ),
     )
--- a/src/tideusher/core/decide/preempt.py
+++ b/src/tideusher/core/decide/preempt.py
@@ -118,7 +118,7 @@
             rooms[machine.name] = [
                 machine.free_cpus + sum(spec.cpus for spec in halted),
                 machine.free_gpus + sum(spec.gpus for spec in halted),
-                machine.free_ram + sum(spec.ram_gb for spec in halted),
+                machine.free_ram_gb + sum(spec.ram_gb for spec in halted),
             ]
     return rooms
 
@@ -226,7 +226,7 @@
             break
         room = coming.get(machine.name)
         if room is None and gang and machine.fits(spec):
-            room = [machine.free_cpus, machine.free_gpus, machine.free_ram]
+            room = [machine.free_cpus, machine.free_gpus, machine.free_ram_gb]
         if room is None or not machine.allows(spec):
             continue
         while granted < count and slots_in(room[0], room[1], room[2], spec) and zones.get(machine.zone, 0) < limit:
@@ -253,7 +253,7 @@
 def _on_machine(
     request: Job, machine: Machine, victims: Set[Task], lost_us: Callable[[Task], int]
 ) -> list[Task] | None:
-    cpus, gpus, ram = machine.free_cpus, machine.free_gpus, machine.free_ram
+    cpus, gpus, ram = machine.free_cpus, machine.free_gpus, machine.free_ram_gb
     stopped: list[Task] = []
     candidates = sorted(
         (task for task in machine.tasks.values() if task in victims),
--- a/src/tideusher/core/decide/reachability.py
+++ b/src/tideusher/core/decide/reachability.py
@@ -34,18 +34,18 @@
     machine.missed_us = now_us
     if machine.missed < DEAF_AFTER:
         return False
-    machine.deaf_until_us = now_us + REST_US
+    machine.unresponsive_until_us = now_us + REST_US
     return True
 
 
 def heeded(machine: Machine) -> None:
     """An answer was carried out."""
-    machine.missed = machine.deaf_until_us = 0
+    machine.missed = machine.unresponsive_until_us = 0
 
 
 def unproven(machine: Machine, now_us: int) -> None:
     """Nothing is known of it but a report from before it can have heard us."""
-    machine.deaf_until_us = now_us + REST_US
+    machine.unresponsive_until_us = now_us + REST_US
 
 
 def mute(machine: Machine, report_us: int, heard_us: Callable[[Machine], int], now_us: int) -> bool:
@@ -55,12 +55,12 @@
     kept alive by that one: it was once taken for mute, and returned with what it ran.
     """
     since_us = now_us - MUTE_REPORTS * report_us - SECOND_US
-    return 0 < machine.own_us < since_us and heard_us(machine) < since_us
+    return 0 < machine.last_report_us < since_us and heard_us(machine) < since_us
 
 
 def deaf(machine: Machine, now_us: int) -> bool:
     """Is nothing to be placed there, as it would not be begun?"""
-    return now_us < machine.deaf_until_us
+    return now_us < machine.unresponsive_until_us
 
 
 def unheard(
@@ -74,14 +74,14 @@
     """Machines to return, with the reason: what they hold is of an older leader, and was not answered for a lease; or
     calls reach them, and no controller heard them for a lease and as long as another one boots."""
     for machine in machines:
-        if machine.phase == UP and 0 < machine.own_us < machine.reported_us:
+        if machine.phase == UP and 0 < machine.last_report_us < machine.last_contact_us:
             since_us = now_us - lease_us - boot_us(machine)
-            called = now_us - machine.reported_us < lease_us
-            if called and machine.own_us < since_us and heard_us(machine) < since_us:
-                silent_s = to_s(now_us - machine.own_us)
+            called = now_us - machine.last_contact_us < lease_us
+            if called and machine.last_report_us < since_us and heard_us(machine) < since_us:
+                silent_s = to_s(now_us - machine.last_report_us)
                 yield machine, f"calls reach it and it has not reported for {silent_s:.0f} s"
                 continue
         behind_us = now_us - machine.behind_us if machine.behind_us else 0
-        heard = now_us - machine.reported_us < lease_us
+        heard = now_us - machine.last_contact_us < lease_us
         if machine.phase == UP and machine.tasks and heard and behind_us > lease_us + 2 * report_us:
             yield machine, f"it reports and has heard no answer of this leader for {to_s(behind_us):.0f} s"
--- a/src/tideusher/core/decide/recovery.py
+++ b/src/tideusher/core/decide/recovery.py
@@ -109,7 +109,7 @@
 class _Hurt:
     """A job that lost tasks, and how many of them have no new place yet."""
 
-    fall: Fall
+    mass_failure: Fall
     owed: int = 0
 
 
@@ -151,45 +151,49 @@
         if not machines:
             return
         silent_us = max((now_us - machine.last_us for machine, _ in machines if machine.last_us), default=0)
-        fall = self._fall_of(zone, silent_us, machines[0][1])
-        fall.machines += len(machines)
+        mass_failure = self._fall_of(zone, silent_us, machines[0][1])
+        mass_failure.machines += len(machines)
         self._c.metrics.count("fall_machines", zone, len(machines))
-        self._c.log.info("fall %s: %d machines of %s, %s", fall.name, len(machines), zone, machines[0][1])
+        self._c.log.info("fall %s: %d machines of %s, %s", mass_failure.name, len(machines), zone, machines[0][1])
         # Those first whose tasks are the most urgent to have back.
         machines.sort(key=lambda item: min((t.job.spec.rank for t in item[0].tasks.values()), default=99))
         size = max(1, int(self._c.config.settings.state.value_kb * 1024 * VALUE_PART / NAME_BYTES))
         while machines:
-            number = self._part_with_room(fall, size)
-            names = fall.parts.setdefault(number, [])
+            number = self._part_with_room(mass_failure, size)
+            names = mass_failure.parts.setdefault(number, [])
             some, machines = machines[: size - len(names)], machines[size - len(names) :]
             for machine, why in some:
-                self._c.set_returning(machine, f"{why} (fall {fall.name})")
-                machine.fall = fall.name
+                self._c.set_returning(machine, f"{why} (fall {mass_failure.name})")
+                machine.mass_failure = mass_failure.name
                 names.append(machine.name)
-            self._c.write_queue.touch(
-                self._part_entry(fall, number), partial(self._ask_cloud, [machine for machine, _ in some])
+            self._c.write_queue.enqueue(
+                self._part_entry(mass_failure, number), partial(self._ask_cloud, [machine for machine, _ in some])
             )
-        self._write(fall)
+        self._write(mass_failure)
 
-    def _part_with_room(self, fall: Fall, size: int) -> int:
+    def _part_with_room(self, mass_failure: Fall, size: int) -> int:
         """The last part if it still waits to be written and holds more names, else a new one.
 
         Calls come back over seconds: a part for each look would again be a write for every few machines.
         """
-        last = max(fall.parts, default=0)
-        if last and self._part_entry(fall, last).dirty and len(fall.parts[last]) < size:
+        last = max(mass_failure.parts, default=0)
+        if last and self._part_entry(mass_failure, last).dirty and len(mass_failure.parts[last]) < size:
             return last
-        fall.newest = max(fall.newest, last) + 1
-        return fall.newest
+        mass_failure.newest = max(mass_failure.newest, last) + 1
+        return mass_failure.newest
 
     def recent(self, zone: str) -> bool:
         """Has a fall of this zone become known just now? The rest of it is found one by one."""
         wall_us = self._c.wall_us()
-        return any(fall.zone == zone and wall_us - fall.known_us < SAME_US for fall in self._ours())
+        return any(
+            mass_failure.zone == zone and wall_us - mass_failure.known_us < SAME_US for mass_failure in self._ours()
+        )
 
     def _ours(self) -> Iterable[Fall]:
         """Falls that this leader found: a later one's numbers begin anew."""
-        return (fall for fall in self.falls.values() if fall.name.startswith(f"{self._c.token}-"))
+        return (
+            mass_failure for mass_failure in self.falls.values() if mass_failure.name.startswith(f"{self._c.token}-")
+        )
 
     def _new_name(self) -> str:
         """Never one that is on record: its machines would be forgotten with it, and used although they return."""
@@ -207,49 +211,49 @@
 
     def _fall_of(self, zone: str, silent_us: int, why: str) -> Fall:
         wall_us = self._c.wall_us()
-        for fall in self._ours():
-            if fall.zone == zone and wall_us - fall.known_us < SAME_US:
-                return fall
-        fall = Fall(self._new_name(), zone, wall_us - silent_us, wall_us, why)
-        self.falls[fall.name] = fall
+        for mass_failure in self._ours():
+            if mass_failure.zone == zone and wall_us - mass_failure.known_us < SAME_US:
+                return mass_failure
+        mass_failure = Fall(self._new_name(), zone, wall_us - silent_us, wall_us, why)
+        self.falls[mass_failure.name] = mass_failure
         self._c.metrics.count("falls", zone)
         self._c.metrics.detected(zone, to_s(silent_us))
         for old in list(self.falls.values())[:-FALLS_KEPT]:
             if not old.parts and not self._mends(old):
                 del self.falls[old.name]
                 self._write(old)
-        return fall
+        return mass_failure
 
     # ---------------------------------------------------------------- what it took, and what is back
 
     def lost(self, job: Job, fall_name: str) -> None:
         """A task of the job is proven gone with a machine that fell."""
-        fall = self.falls.get(fall_name)
-        if fall is None or job.status != OPEN:
+        mass_failure = self.falls.get(fall_name)
+        if mass_failure is None or job.status != OPEN:
             return
-        fall.tasks += 1
-        fall.jobs[job.spec.id] = fall.jobs.get(job.spec.id, 0) + 1
-        fall.whole_us = 0
-        hurt = self._hurt.setdefault(job.spec.id, _Hurt(fall))
-        hurt.fall = fall
+        mass_failure.tasks += 1
+        mass_failure.jobs[job.spec.id] = mass_failure.jobs.get(job.spec.id, 0) + 1
+        mass_failure.whole_us = 0
+        hurt = self._hurt.setdefault(job.spec.id, _Hurt(mass_failure))
+        hurt.mass_failure = mass_failure
         hurt.owed += 1
-        if fall.back.pop(job.spec.id, None) is not None:
-            fall.whole -= 1  # it was whole, and lost more
-        self._c.metrics.count("fall_tasks_lost", fall.zone)
+        if mass_failure.back.pop(job.spec.id, None) is not None:
+            mass_failure.whole -= 1  # it was whole, and lost more
+        self._c.metrics.count("fall_tasks_lost", mass_failure.zone)
 
     def returned(self, machine: Machine) -> None:
         """The machine's return is confirmed; with the last of a part its names are needed no more."""
-        fall = self.falls.get(machine.fall)
-        if fall is None:
+        mass_failure = self.falls.get(machine.mass_failure)
+        if mass_failure is None:
             return
-        for number, names in list(fall.parts.items()):
+        for number, names in list(mass_failure.parts.items()):
             if machine.name in names:
                 names.remove(machine.name)
                 if not names:
-                    del fall.parts[number]
-                    self._c.write_queue.touch(self._part_entry(fall, number), urgent=False)
-        if not fall.parts:
-            self._write(fall)
+                    del mass_failure.parts[number]
+                    self._c.write_queue.enqueue(self._part_entry(mass_failure, number), urgent=False)
+        if not mass_failure.parts:
+            self._write(mass_failure)
 
     def step(self) -> None:
         """Look which of the jobs that lost tasks are whole again. Costs what is hurt, not what is open."""
@@ -258,22 +262,22 @@
             job = self._c.jobs.get(job_id)
             if job is None or job.status != OPEN or (hurt.owed <= 0 and self._runs(job)):
                 del self._hurt[job_id]
-                hurt.fall.whole += 1
-                hurt.fall.back[job_id] = self._c.wall_us()
-                done[hurt.fall.name] = hurt.fall
-        for fall in done.values():
-            if not self._mends(fall):
-                fall.whole_us = self._c.wall_us()
-                self._c.metrics.whole(fall.zone, to_s(fall.whole_us - fall.began_us))
+                hurt.mass_failure.whole += 1
+                hurt.mass_failure.back[job_id] = self._c.wall_us()
+                done[hurt.mass_failure.name] = hurt.mass_failure
+        for mass_failure in done.values():
+            if not self._mends(mass_failure):
+                mass_failure.whole_us = self._c.wall_us()
+                self._c.metrics.whole(mass_failure.zone, to_s(mass_failure.whole_us - mass_failure.began_us))
                 self._c.log.info(
                     "fall %s: all %d jobs that lost tasks are whole again, %.0f s after it began",
-                    fall.name, len(fall.jobs), to_s(fall.whole_us - fall.began_us),
+                    mass_failure.name, len(mass_failure.jobs), to_s(mass_failure.whole_us - mass_failure.began_us),
                 )  # fmt: skip
-                self._write(fall)
+                self._write(mass_failure)
 
-    def _mends(self, fall: Fall) -> bool:
+    def _mends(self, mass_failure: Fall) -> bool:
         """Is a job not whole again that this fall hurt last?"""
-        return any(hurt.fall is fall for hurt in self._hurt.values())
+        return any(hurt.mass_failure is mass_failure for hurt in self._hurt.values())
 
     @staticmethod
     def _runs(job: Job) -> bool:
@@ -282,7 +286,7 @@
     def fall_of(self, job: Job) -> Fall | None:
         """The fall that the job is still recovering from."""
         hurt = self._hurt.get(job.spec.id)
-        return hurt.fall if hurt is not None else None
+        return hurt.mass_failure if hurt is not None else None
 
     def placed(self, job: Job, count: int) -> None:
         """So many tasks of the job got places."""
@@ -290,10 +294,14 @@
         if hurt is not None:
             hurt.owed -= count
 
-    def still_waiting(self, fall: Fall) -> list[Job]:
+    def still_waiting(self, mass_failure: Fall) -> list[Job]:
         """Open jobs that this fall hurt last and that are not whole again, those that lost most first."""
-        jobs = [self._c.jobs[name] for name, hurt in self._hurt.items() if hurt.fall is fall and name in self._c.jobs]
-        return sorted(jobs, key=lambda job: (-fall.jobs.get(job.spec.id, 0), job.spec.id))
+        jobs = [
+            self._c.jobs[name]
+            for name, hurt in self._hurt.items()
+            if hurt.mass_failure is mass_failure and name in self._c.jobs
+        ]
+        return sorted(jobs, key=lambda job: (-mass_failure.jobs.get(job.spec.id, 0), job.spec.id))
 
     def waiting(self) -> int:
         """Tasks that a fall took and that wait for a new place, those of jobs that may have one now."""
@@ -329,41 +337,45 @@
             self.falls[name] = read_fall(name, value)
             self._entry(self.falls[name]).stamp = stamp
         for name, number, value, stamp in parts:
-            fall = self.falls.get(name)
-            if fall is None:  # its record was not written any more: what it named is returned all the same
+            mass_failure = self.falls.get(name)
+            if mass_failure is None:  # its record was not written any more: what it named is returned all the same
                 wall_us = self._c.wall_us()
-                fall = self.falls[name] = Fall(name, value["zone"], wall_us, wall_us, "an earlier leader found it")
+                mass_failure = self.falls[name] = Fall(
+                    name, value["zone"], wall_us, wall_us, "an earlier leader found it"
+                )
             here = [m for host in value["hosts"] if (m := self._c.machines.get(host)) is not None]
-            fall.parts[number] = [machine.name for machine in here]
-            self._part_entry(fall, number).stamp = stamp
+            mass_failure.parts[number] = [machine.name for machine in here]
+            self._part_entry(mass_failure, number).stamp = stamp
             for machine in here:
                 self._c.set_returning(machine, f"it fell (fall {name}); its return was asked")
-                machine.fall = name
+                machine.mass_failure = name
             if not here:
-                del fall.parts[number]
-                self._c.write_queue.touch(self._part_entry(fall, number), urgent=False)
-        for fall in self.falls.values():
-            for job_id in fall.jobs if not fall.whole_us else ():
+                del mass_failure.parts[number]
+                self._c.write_queue.enqueue(self._part_entry(mass_failure, number), urgent=False)
+        for mass_failure in self.falls.values():
+            for job_id in mass_failure.jobs if not mass_failure.whole_us else ():
                 job = self._c.jobs.get(job_id)
-                if job is not None and job.status == OPEN and job_id not in fall.back:
-                    self._hurt[job_id] = _Hurt(fall, min(fall.jobs[job_id], job.pending))
+                if job is not None and job.status == OPEN and job_id not in mass_failure.back:
+                    self._hurt[job_id] = _Hurt(mass_failure, min(mass_failure.jobs[job_id], job.pending))
 
-    def _write(self, fall: Fall) -> None:
-        self._c.write_queue.touch(self._entry(fall), urgent=False)
+    def _write(self, mass_failure: Fall) -> None:
+        self._c.write_queue.enqueue(self._entry(mass_failure), urgent=False)
 
-    def _entry(self, fall: Fall) -> Entry:
-        key = keys.fall_key(fall.name, 0)
+    def _entry(self, mass_failure: Fall) -> Entry:
+        key = keys.fall_key(mass_failure.name, 0)
         if key not in self._entries:
-            self._entries[key] = Entry(key, lambda: fall.value() if fall.name in self.falls else None, 0)
+            self._entries[key] = Entry(
+                key, lambda: mass_failure.value() if mass_failure.name in self.falls else None, 0
+            )
         return self._entries[key]
 
-    def _part_entry(self, fall: Fall, number: int) -> Entry:
-        key = keys.fall_key(fall.name, number)
+    def _part_entry(self, mass_failure: Fall, number: int) -> Entry:
+        key = keys.fall_key(mass_failure.name, number)
         if key not in self._entries:
 
             def value() -> dict[str, Any] | None:
-                hosts = fall.parts.get(number)
-                return {"zone": fall.zone, "hosts": hosts} if hosts else None
+                hosts = mass_failure.parts.get(number)
+                return {"zone": mass_failure.zone, "hosts": hosts} if hosts else None
 
             self._entries[key] = Entry(key, value, 0)
         return self._entries[key]
--- a/src/tideusher/core/decide/starts.py
+++ b/src/tideusher/core/decide/starts.py
@@ -65,8 +65,8 @@
 
 def _condition(machine: Machine) -> Refusal | None:
     if machine.phase != UP:
-        return Refusal.NOT_UP if not machine.draining else Refusal.RETURNING
-    return Refusal.DRAINING if machine.draining else None
+        return Refusal.NOT_UP if not machine.drain_reason else Refusal.RETURNING
+    return Refusal.DRAINING if machine.drain_reason else None
 
 
 def _beside_others(job: Job, zone: str, zones: Counter[str]) -> Refusal | None:
--- a/src/tideusher/core/decide/takeover_readiness.py
+++ b/src/tideusher/core/decide/takeover_readiness.py
@@ -34,7 +34,7 @@
     def begin(self) -> None:
         """The picture is complete as far as records go."""
         for name, machine in self._machines.items():
-            if machine.inherited and machine.phase != RETURNING and not machine.reported_us:
+            if machine.inherited and machine.phase != RETURNING and not machine.last_contact_us:
                 zone = self._zones.setdefault(machine.zone, _Zone(0, set()))
                 zone.of += 1
                 zone.owed.add(name)
@@ -59,7 +59,7 @@
 
     def _owes(self, name: str) -> bool:
         machine = self._machines.get(name)
-        return machine is not None and not machine.reported_us and machine.phase != RETURNING
+        return machine is not None and not machine.last_contact_us and machine.phase != RETURNING
 
     def of(self, zone: str) -> bool:
         """May machines of the zone be returned as not needed?"""
--- a/src/tideusher/core/decide/task_failures.py
+++ b/src/tideusher/core/decide/task_failures.py
@@ -52,7 +52,7 @@
     """
     honest = [
         (job, times)
-        for name, times in machine.error_jobs.items()
+        for name, times in machine.failures_by_job.items()
         if (job := jobs.get(name)) is not None and job.status == OPEN and not at_fault(job)
     ]
     proven = [(job, times) for job, times in honest if job.done_count]
@@ -60,4 +60,4 @@
         return FAULTY
     if len(honest) < JOBS:
         return ""
-    return FAULTY if machine.suspect_us and now_us - machine.suspect_us >= SURE_US else SUSPECT
+    return FAULTY if machine.suspect_since_us and now_us - machine.suspect_since_us >= SURE_US else SUSPECT
--- a/src/tideusher/core/lead/cluster.py
+++ b/src/tideusher/core/lead/cluster.py
@@ -29,7 +29,7 @@
 from tideusher.core.lead.own_machines import OwnMachines
 from tideusher.core.lead.renting import Renting
 from tideusher.core.model import keys
-from tideusher.core.model.cluster_state import Picture, RecordOf
+from tideusher.core.model.cluster_state import ClusterState, RecordOf
 from tideusher.core.model.job_record import MAX_STOPS_KEPT, final_value, holder, over_limit_reason
 from tideusher.core.model.pages import NULL, Pages, ReadValue
 from tideusher.core.model.records import (
@@ -39,7 +39,7 @@
     CRITICAL,
     JOB_CANCELLED,
     JOB_DONE,
-    NO_ROOM,
+    NO_CAPACITY,
     OPEN,
     RETURNING,
     UP,
@@ -82,7 +82,7 @@
         wall_us: Callable[[], int],
         metrics: Metrics | None = None,
         record_of: RecordOf = lambda job_id: None,
-        picture: Picture | None = None,
+        cluster_state: ClusterState | None = None,
         value_of: ReadValue = lambda key: None,
     ) -> None:
         """`value_of`: a key's value as the newest read has it; needed where records share pages."""
@@ -93,16 +93,20 @@
         self.wall_us = wall_us
         settings = config.settings
         #: What was followed until now; from here on it is changed by the transitions below only.
-        self.picture = picture or Picture(config, policy, now_us, wall_us, record_of)
-        self.teams, self.usage = self.picture.teams, self.picture.usage
-        self.jobs, self.active = self.picture.jobs, self.picture.active
-        self.machines, self.rentals, self.gone = self.picture.machines, self.picture.rentals, self.picture.gone
-        self.rental_index = self.picture.rental_index
-        self.ledger = self.picture.ledger
+        self.cluster_state = cluster_state or ClusterState(config, policy, now_us, wall_us, record_of)
+        self.teams, self.usage = self.cluster_state.teams, self.cluster_state.usage
+        self.jobs, self.active = self.cluster_state.jobs, self.cluster_state.active
+        self.machines, self.rentals, self.gone = (
+            self.cluster_state.machines,
+            self.cluster_state.rentals,
+            self.cluster_state.gone,
+        )
+        self.rental_index = self.cluster_state.rental_index
+        self.ledger = self.cluster_state.ledger
         report_us = to_us(settings.workers.report_s)
-        types, arrivals = self.picture.types, self.picture.arrivals
+        types, arrivals = self.cluster_state.types, self.cluster_state.arrivals
         self.fleet = Fleet(policy, settings.objectives, types, arrivals, report_us, self.is_guest)
-        self.health = Health(config, policy, self.machines, self.fleet, now_us, self.picture.zones)
+        self.health = Health(config, policy, self.machines, self.fleet, now_us, self.cluster_state.zones)
         self.falls = Falls(config, self.machines, lambda: self.fleet.types, self.health, self._crowded, self._yields)
         workers_ = settings.workers
         self.truth = Truth(self.machines, now_us, to_us(workers_.report_s), to_us(workers_.lease_s))
@@ -134,43 +138,43 @@
 
     def load(self, items: Mapping[str, tuple[Any, int]], now_us: int) -> None:
         """Take over what the state service holds. Nothing that it says is running counts as gone."""
-        self.picture.build(items, now_us)
+        self.cluster_state.build(items, now_us)
         self.begin(now_us)
 
     def begin(self, now_us: int) -> None:
         """What a leader does first with a picture that is up to date. Costs what is left to settle."""
-        picture = self.picture
-        self._fence.stamp = picture.stamps.get(keys.FENCE, 0)
+        cluster_state = self.cluster_state
+        self._fence.stamp = cluster_state.stamps.get(keys.FENCE, 0)
         self._take_over_pages()
         for rental in self.rentals.values():
             if not rental.answered:
                 self.to_rent.append(rental)  # same name: the cloud answers what it answered before
-        self.recovery.load((key, value, stamp) for key, (value, stamp) in sorted(picture.falls.items()))
+        self.recovery.load((key, value, stamp) for key, (value, stamp) in sorted(cluster_state.falls.items()))
         for machine in list(self.machines.values()):
             if machine.phase == RETURNING:
-                self.rental_index.ask_return(machine.name)
+                self.rental_index.mark_return_requested(machine.name)
                 self.ask_cloud_to_return(machine)
             else:
                 self.renting.keep_one(machine, lambda: None)
-        for key, stamp in picture.orphans.items():
-            self.write_queue.touch(Entry(key, lambda: None, stamp), urgent=False)
-        for job in [self.jobs[name] for name in picture.unsettled if name in self.jobs]:
+        for key, stamp in cluster_state.orphans.items():
+            self.write_queue.enqueue(Entry(key, lambda: None, stamp), urgent=False)
+        for job in [self.jobs[name] for name in cluster_state.unsettled if name in self.jobs]:
             self._settle_job(job)
-        for job in [self.jobs[name] for name in picture.conditional if name in self.jobs]:
+        for job in [self.jobs[name] for name in cluster_state.conditional if name in self.jobs]:
             self.conditions.admit(job, now_us)
         self.ledger.set_fleet(self.machines.values())
-        for task in picture.uncharged:
+        for task in cluster_state.uncharged_starts:
             # Placed after the last charges were written: its leader's own charge went with it.
             if task.job.live.get(task.index) is task:
                 self.ledger.charge_start(task, self.min_run_us(task.job), now_us, again=True)
-        picture.uncharged.clear()
+        cluster_state.uncharged_starts.clear()
         self.truth.begin()
 
     def _take_over_pages(self) -> None:
-        placements, stamps = self.picture.placements, self.picture.stamps
+        placements, stamps = self.cluster_state.placements, self.cluster_state.stamps
         stored = [(key, members, stamps.pop(key, 0)) for key, members in placements.pages()]
-        self.pages.load(stored, placements.homes(), self.picture.fenced)
-        for name in [name for name in self.pages.homes if name not in self.jobs]:
+        self.pages.load(stored, placements.pages_by_job(), self.cluster_state.fenced)
+        for name in [name for name in self.pages.pages_by_job if name not in self.jobs]:
             self.pages.give_up(name)  # of jobs that are over
 
     def _settle_job(self, job: Job) -> None:
@@ -198,8 +202,8 @@
         self.log.info("small jobs' records %s", "share pages from now on" if wanted else "move to keys of their own")
         self.pages.open = wanted
         if wanted and not self.pages.fenced:
-            self.write_queue.touch(self._fence)
-        for name in [] if wanted else list(self.pages.homes):
+            self.write_queue.enqueue(self._fence)
+        for name in [] if wanted else list(self.pages.pages_by_job):
             if name in self.jobs:
                 self.touch_chunk(self.jobs[name], 0, urgent=False)
 
@@ -207,12 +211,12 @@
         """While there are pages, or may be at once, versions that do not read them are kept out."""
         return NULL if self.pages.open or self.pages.any else {"by": self.token}
 
-    def entry(self, key: str, value: Callable[[], Any], also: Callable[[], list[Guard]] = list) -> Entry:
+    def entry(self, key: str, value: Callable[[], Any], extra_guards: Callable[[], list[Guard]] = list) -> Entry:
         """The entry of a key that this leader writes, made when first needed."""
         entry = self._entries.get(key)
         if entry is None:
             # Of a key that is new to this leader; from here on the entry itself keeps the stamp.
-            entry = self._entries[key] = Entry(key, value, self.picture.stamps.pop(key, 0), also)
+            entry = self._entries[key] = Entry(key, value, self.cluster_state.stamps.pop(key, 0), extra_guards)
         return entry
 
     def forget_entry(self, key: str) -> Entry | None:
@@ -221,14 +225,14 @@
 
     def knows_key(self, key: str) -> bool:
         """Is there such a record, as far as this leader can tell?"""
-        return key in self._entries or key in self.picture.stamps or self._value_of(key) is not None
+        return key in self._entries or key in self.cluster_state.stamps or self._value_of(key) is not None
 
     def _chunk_entry(self, job: Job, chunk: Chunk) -> Entry:
         key = keys.chunk_key(job.spec.id, chunk.number)
         entry = self._entries.get(key)
         if entry is None:
 
-            def also() -> list[Guard]:
+            def extra_guards() -> list[Guard]:
                 # The job's own key guards every write that may hold an assignment, so that a
                 # cancellation accepted by any node beats the start (docs/safety.md, 1).
                 return [Guard(keys.job_key(job.spec.id), job.stamp)] if job.status == OPEN else []
@@ -238,7 +242,7 @@
                     return None
                 return chunk_value(job, chunk)
 
-            entry = self.entry(key, value, also)
+            entry = self.entry(key, value, extra_guards)
             # What `done` waits for is that all chunks are written, whichever is the last. It once hung on the writes
             # of completions alone: where one that is not urgent (a stop, a place that came free) was still waiting
             # behind them, nobody looked again, and a job of 25,000 tasks that were all done was never called so.
@@ -253,7 +257,7 @@
 
     def touch_chunk(self, job: Job, index: int, effect: Effect | None = None, urgent: bool = True) -> None:
         chunk = job.chunk_of(index)
-        self.write_queue.touch(self._chunk_entry(job, chunk), effect, urgent)
+        self.write_queue.enqueue(self._chunk_entry(job, chunk), effect, urgent)
 
     # ---------------------------------------------------------------- jobs
 
@@ -264,11 +268,11 @@
         job = self.jobs.get(job_id)
         if job is None:
             if value["st"] == OPEN and "spec" in value:
-                self.conditions.admit(self.picture.new_job(job_id, value, stamp, now_us), now_us)
+                self.conditions.admit(self.cluster_state.new_job(job_id, value, stamp, now_us), now_us)
             return
         if stamp <= job.stamp:
             return
-        ended, too_many = self.picture.change_job(job, value, stamp)
+        ended, too_many = self.cluster_state.change_job(job, value, stamp)
         if ended:
             self.log.info("job %s is %s%s", job_id, job.status, job.why and f": {job.why}")
             if job.status == JOB_CANCELLED:
@@ -302,17 +306,17 @@
         """
         if job.begun and "b" not in value and self.conditions.names_its_begin(job.spec.id):
             entry = Entry(keys.job_key(job.spec.id), lambda: {**value, "b": 1}, job.stamp)
-            self.write_queue.touch(entry)
+            self.write_queue.enqueue(entry)
 
     def park_or_wake(self, job: Job, now_us: int) -> None:
         """Passes look at the job from now on, or no more, as its conditions say."""
         name = job.spec.id
         if job.status == OPEN and job.blocked and not job.live:
             self.active.pop(name, None)
-            job.woken = True
+            job.was_blocked = True
         elif name not in self.active:
-            came_us = now_us if job.woken else now_us - max(0, self.wall_us() - job.submitted_us)
-            self.picture.waits_from(job, came_us)
+            came_us = now_us if job.was_blocked else now_us - max(0, self.wall_us() - job.submitted_us)
+            self.cluster_state.activate(job, came_us)
         self.dirty = True
 
     def take_back(self, job: Job) -> None:
@@ -350,7 +354,7 @@
                 self._retire(job)
                 self.dirty = True  # as when a leader reads its own record first
 
-        self.write_queue.touch(entry, told, urgent)
+        self.write_queue.enqueue(entry, told, urgent)
 
     def end(self, job: Job, why: str) -> None:
         """The job can never run: its record will say why. Not urgent: starts and ends of others go first."""
@@ -370,11 +374,11 @@
         for chunk in job.chunks.values():
             entry = self._chunk_entry(job, chunk)
             if entry.stamp or self.pages.home(entry.member) is not None or not self.write_queue.clean(entry):
-                self.write_queue.touch(entry, urgent=False)
+                self.write_queue.enqueue(entry, urgent=False)
         for chunk in list(job.chunks.values()):
             self._entries.pop(keys.chunk_key(job.spec.id, chunk.number), None)
         if job.spec.id in self.jobs:
-            self.picture.forget(job)
+            self.cluster_state.forget(job)
             self.conditions.retired(job)
 
     # ---------------------------------------------------------------- places
@@ -388,8 +392,8 @@
         if job.live.get(task.index) is not task:
             return
         if job.spec.image in machine.images:
-            self.picture.used_image(task)
-        self.picture.unplace(task, now_us)
+            self.cluster_state.used_image(task)
+        self.cluster_state.unplace(task, now_us)
         self.opened += 1
         # With the last task of a finished job gone, the write of that is what `done` waits for: the
         # members of a gang report their exits one by one, after the gang's completion was written.
@@ -403,7 +407,7 @@
             and not job.blocked  # held since the move was planned
             and self.machines.get(target.name) is target
             and target.phase == UP
-            and not target.draining
+            and not target.drain_reason
             and target.fits(job.spec)
             and job.may_join(target.zone)  # others may have taken places there since the move was planned
         ):
@@ -411,7 +415,7 @@
             self.assign(job, [target], now_us)
         if job.status != OPEN:
             self._retire(job)
-        elif job.is_gang and not over and not (vanished and job.gathers):
+        elif job.is_gang and not over and not (vanished and job.is_forming):
             # Of a gang that has run the rest cannot go on; one that still gathers is completed by a
             # replacement with the same attempt.
             for other in list(job.live.values()):
@@ -520,17 +524,17 @@
         """The rental brought a machine that was not known."""
         self.dirty = True
         self.rental_index.add(rental, name)
-        return self.picture.add_machine(name, rental, now_us)
+        return self.cluster_state.add_machine(name, rental, now_us)
 
     def set_types(self, types: Iterable[MachineType]) -> None:
         """Machine types became known or prices changed."""
-        first = not self.picture.types
-        self.picture.learn_types(types)
-        value = msgspec.to_builtins(list(self.picture.types.values()))
-        entry = self.entry(keys.TYPES, lambda: msgspec.to_builtins(list(self.picture.types.values())))
+        first = not self.cluster_state.types
+        self.cluster_state.set_machine_types(types)
+        value = msgspec.to_builtins(list(self.cluster_state.types.values()))
+        entry = self.entry(keys.TYPES, lambda: msgspec.to_builtins(list(self.cluster_state.types.values())))
         if first or value != self._types_value:
             self._types_value = value
-            self.write_queue.touch(entry, urgent=False)
+            self.write_queue.enqueue(entry, urgent=False)
         self.dirty = True
 
     def adopt(self, report: Report, now_us: int) -> Machine:
@@ -551,26 +555,26 @@
         rental = Rental(f"{ADOPTED}{name}", told.type, told.zone, told.spot, 1, answered=True)
         self.rentals[rental.name] = rental
         machine = self.add_machine(name, rental, rented_us)
-        self.renting.touch(rental, urgent=False)
+        self.renting.enqueue(rental, urgent=False)
         return machine
 
     def drain(self, machine: Machine, reason: str) -> None:
         """Stop what runs on a machine that does harm, and return it."""
         self.log.info("drain %s: %s", machine.name, reason)
-        machine.draining = reason
+        machine.drain_reason = reason
         self.give_back(machine, reason)
 
     def look_at_failures(self, machine: Machine, now_us: int) -> None:
         """Is the machine at fault for what failed on it? One that may be gets no new work until that is known."""
-        if machine.draining or not self.rents:
+        if machine.drain_reason or not self.rents:
             return
         verdict = task_failures.judge(machine, self.jobs, now_us)
         if verdict == task_failures.FAULTY:
             self.drain(machine, "tasks of several jobs failed on it")
         elif verdict != task_failures.SUSPECT:
-            machine.suspect_us = 0
-        elif not machine.suspect_us:
-            machine.suspect_us = now_us
+            machine.suspect_since_us = 0
+        elif not machine.suspect_since_us:
+            machine.suspect_since_us = now_us
             self.log.info("%s gets no new work for now: tasks of several jobs failed on it", machine.name)
 
     def give_back(self, machine: Machine, reason: str) -> None:
@@ -578,15 +582,15 @@
         if machine.phase == RETURNING:
             return
         self.set_returning(machine, reason)
-        self.renting.touch(self.rentals[machine.rental], partial(self.ask_cloud_to_return, machine))
+        self.renting.enqueue(self.rentals[machine.rental], partial(self.ask_cloud_to_return, machine))
 
     def set_returning(self, machine: Machine, reason: str) -> None:
         """No work goes there from now on. Whoever calls this has it persisted before the cloud hears of it."""
         if machine.phase == RETURNING:
             return
         machine.phase = RETURNING
-        machine.draining = machine.draining or reason
-        self.rental_index.ask_return(machine.name)
+        machine.drain_reason = machine.drain_reason or reason
+        self.rental_index.mark_return_requested(machine.name)
         self.log.info("return %s: %s", machine.name, reason)
         self.dirty = True
 
@@ -598,7 +602,7 @@
         self.renting.keep_one(machine, lambda: self.to_return.append(machine))
 
     def _crowded(self) -> bool:
-        return any(job.waits and job.waits_for == NO_ROOM for job in self.active.values())
+        return any(job.waits and job.waiting_reason == NO_CAPACITY for job in self.active.values())
 
     def _yields(self, job: Job) -> bool:
         return job.spec.rank > CRITICAL and not job.is_gang and not self.min_run_us(job)
@@ -637,8 +641,8 @@
         self.fleet.granted((machine.type, machine.zone, machine.spot))
         for task in list(machine.tasks.values()):
             if task.halt_grace_s is None:
-                self.recovery.lost(task.job, machine.fall)
-            self.lost(task, f"its machine is gone ({machine.draining or 'returned'})", now_us)
+                self.recovery.lost(task.job, machine.mass_failure)
+            self.lost(task, f"its machine is gone ({machine.drain_reason or 'returned'})", now_us)
         for rental in self.rental_index.forget(name):
             self.renting.settle(rental)
 
@@ -684,7 +688,7 @@
         machines = self._allowed(job, machines)
         if not machines:
             return 0
-        indexes = job.pick(len(machines))
+        indexes = job.next_pending(len(machines))
         chunks = {index // CHUNK_TASKS: job.chunk_of(index) for index in indexes}
         attempt = 1 + max(chunk.attempts for chunk in (job.chunks if job.is_gang else chunks).values())
         if job.is_gang and job.live:
@@ -695,7 +699,7 @@
             chunk = job.chunk_of(index)
             number = attempt if job.is_gang else chunk.attempts + 1
             task = Task(job, index, number, machine, COMMITTING, now_us)
-            self.picture.place(task)
+            self.cluster_state.place(task)
             self.ledger.charge_start(task, self.min_run_us(job), now_us)
             tasks.append(task)
         unsaved = set(chunks)
@@ -713,7 +717,7 @@
                         if not self.rents:
                             self.touched[task.machine.name] = task.machine
 
-            self.write_queue.touch(self._chunk_entry(job, chunk), persisted)
+            self.write_queue.enqueue(self._chunk_entry(job, chunk), persisted)
         self.recovery.placed(job, len(tasks))
         if self.log.isEnabledFor(logging.DEBUG):
             places = ", ".join(f"{task.index}@{told_machine(task.machine)}" for task in tasks[:8])
@@ -783,7 +787,7 @@
         self.ledger.gather(
             ((t, self.min_run_us(t.job)) for m in self.machines.values() for t in m.tasks.values()), now_us
         )
-        self.write_queue.touch(self.entry(keys.RATIOS, lambda: self.ledger.to_value(now_us)), urgent=False)
+        self.write_queue.enqueue(self.entry(keys.RATIOS, lambda: self.ledger.to_value(now_us)), urgent=False)
 
 
 def told_machine(machine: Machine) -> str:
--- a/src/tideusher/core/lead/engine.py
+++ b/src/tideusher/core/lead/engine.py
@@ -15,7 +15,7 @@
 from tideusher.core.lead.cluster import Cluster
 from tideusher.core.lead.reports import Reports
 from tideusher.core.lead.scheduler import Scheduler
-from tideusher.core.model.cluster_state import Picture, RecordOf
+from tideusher.core.model.cluster_state import ClusterState, RecordOf
 from tideusher.core.model.pages import ReadValue
 from tideusher.core.model.records import Machine
 from tideusher.core.model.rentals import Rental
@@ -51,7 +51,7 @@
         metrics: Metrics,
         record_of: RecordOf,
         items: Mapping[str, tuple[Any, int]] | None = None,
-        picture: Picture | None = None,
+        cluster_state: ClusterState | None = None,
         value_of: ReadValue = lambda key: None,
     ) -> None:
         """Take over what is stored: `items` are all keys with their values and stamps; or a picture that followed.
@@ -59,7 +59,7 @@
         `value_of`: a key's value as the newest read has it; needed where records share pages.
         """
         self.token = token
-        self.cluster = Cluster(config, policy, token, now_us, wall_us, metrics, record_of, picture, value_of)
+        self.cluster = Cluster(config, policy, token, now_us, wall_us, metrics, record_of, cluster_state, value_of)
         if items is not None:
             self.cluster.load(items, now_us)
         else:
--- a/src/tideusher/core/lead/explain.py
+++ b/src/tideusher/core/lead/explain.py
@@ -6,7 +6,7 @@
 from tideusher.clock import to_s
 from tideusher.core.decide.recovery import told_fall
 from tideusher.core.lead.cluster import Cluster
-from tideusher.core.model.records import BOOTING, JOB_CANCELLED, JOB_DONE, NO_ROOM, SEEN, Job
+from tideusher.core.model.records import BOOTING, JOB_CANCELLED, JOB_DONE, NO_CAPACITY, SEEN, Job
 from tideusher.wire.arrays import parse_indexes
 from tideusher.wire.jobs import MAX_TASKS
 from tideusher.wire.workers import FETCHING, SAVING, WAITING
@@ -84,16 +84,18 @@
     if job.status == JOB_DONE:
         return ["It is done."]
     reasons = _blocks(cluster, job)
-    fall = cluster.recovery.fall_of(job)
-    if fall is not None:
+    mass_failure = cluster.recovery.fall_of(job)
+    if mass_failure is not None:
         reasons.append(
-            f"Fall {fall.name}, in which {fall.machines} machines of {fall.zone} went silent, took "
-            f"{fall.jobs.get(job.spec.id, 0)} of its tasks; it is not whole again."
+            f"Fall {mass_failure.name}, in which {mass_failure.machines} machines of {mass_failure.zone} went silent, took "
+            f"{mass_failure.jobs.get(job.spec.id, 0)} of its tasks; it is not whole again."
         )
     if job.pending > 0 and not job.blocked:
-        text = f"{job.pending} tasks wait for {job.waits_for}."
-        booting = sum(m.phase == BOOTING and not m.draining and m.allows(job.spec) for m in cluster.machines.values())
-        if booting and job.waits_for == NO_ROOM:
+        text = f"{job.pending} tasks wait for {job.waiting_reason}."
+        booting = sum(
+            m.phase == BOOTING and not m.drain_reason and m.allows(job.spec) for m in cluster.machines.values()
+        )
+        if booting and job.waiting_reason == NO_CAPACITY:
             text += f" {booting} machines that it may use are booting."
             late = sum(cluster.health.boots.late(m, now_us) and m.allows(job.spec) for m in cluster.machines.values())
             if late:
@@ -131,8 +133,8 @@
     reasons = []
     if job.hold:
         reasons.append(f"It is held by {job.hold}; nothing more of it starts until it is released.")
-    if job.early_us:
-        at = datetime.fromtimestamp(to_s(job.early_us), UTC)
+    if job.start_after_us:
+        at = datetime.fromtimestamp(to_s(job.start_after_us), UTC)
         reasons.append(f"It is not to start before {at:%Y-%m-%d %H:%M:%S} UTC.")
     for kind, ref in job.unmet[:MAX_NAMED]:
         other = cluster.jobs.get(ref)
@@ -147,17 +149,17 @@
 def falls(cluster: Cluster) -> list[dict[str, Any]]:
     """The falls on record, the newest first; with what still waits, and why."""
     rows = []
-    for fall in reversed(cluster.recovery.falls.values()):
-        hurt = cluster.recovery.still_waiting(fall)
+    for mass_failure in reversed(cluster.recovery.falls.values()):
+        hurt = cluster.recovery.still_waiting(mass_failure)
         waits = {job.spec.id: _still(job) for job in hurt[:MAX_NAMED]}
-        rows.append(told_fall(fall.name, fall.value()) | {"still_waiting": waits})
+        rows.append(told_fall(mass_failure.name, mass_failure.value()) | {"still_waiting": waits})
     return rows
 
 
 def _still(job: Job) -> str:
     """Why a job that a fall hurt is not whole again."""
     if job.pending > 0:
-        return f"{job.pending} tasks wait for {job.waits_for}"
+        return f"{job.pending} tasks wait for {job.waiting_reason}"
     images = sum(task.running_us is None for task in job.live.values())
     return f"{images} tasks have a place and do not run yet"
 
@@ -194,8 +196,8 @@
             "phase": m.phase,
             "tasks": len(m.tasks),
             "free_gpus": round(m.free_gpus, 3),
-            "silent_s": round(to_s(now_us - m.reported_us), 1) if m.reported_us else None,
-            "note": m.draining or (f"kept for {m.reserved}" if m.reserved else "slow" if m.slow else ""),
+            "silent_s": round(to_s(now_us - m.last_contact_us), 1) if m.last_contact_us else None,
+            "note": m.drain_reason or (f"kept for {m.reserved}" if m.reserved else "slow" if m.slow else ""),
         }
         for m in sorted(cluster.machines.values(), key=lambda m: m.name)
     ]
--- a/src/tideusher/core/lead/own_machines.py
+++ b/src/tideusher/core/lead/own_machines.py
@@ -63,4 +63,4 @@
     def hear(self, now_us: int) -> None:
         """They live as long as their program: they are as good as heard at any moment."""
         for machine in self._c.machines.values():
-            machine.reported_us = machine.own_us = now_us
+            machine.last_contact_us = machine.last_report_us = now_us
--- a/src/tideusher/core/lead/renting.py
+++ b/src/tideusher/core/lead/renting.py
@@ -71,9 +71,9 @@
         entry.valid = partial(self._is_same, rental)
         return entry
 
-    def touch(self, rental: Rental, effect: Effect | None = None, urgent: bool = True) -> None:
+    def enqueue(self, rental: Rental, effect: Effect | None = None, urgent: bool = True) -> None:
         """The rental changed."""
-        self._c.write_queue.touch(self.entry(rental), effect, urgent)
+        self._c.write_queue.enqueue(self.entry(rental), effect, urgent)
 
     def _is_same(self, rental: Rental) -> bool:
         """Asked whenever the record is about to be written. A rental that stands against another is given up."""
@@ -100,11 +100,11 @@
         """
         for rental in {machine.rental: self._c.rentals[machine.rental] for machine in machines}.values():
             if self._c.rents and not self._c.write_queue.clean(self.entry(rental)):
-                self.touch(rental)
+                self.enqueue(rental)
 
     def settle(self, rental: Rental, effect: Effect | None = None, urgent: bool = False) -> None:
         """Write what is left of the rental; one of which nothing is left is forgotten."""
-        self.touch(rental, effect, urgent)
+        self.enqueue(rental, effect, urgent)
         if rental.value() is None:
             self._c.rentals.pop(rental.name, None)
             self._c.forget_entry(keys.rental_key(rental.name))
@@ -117,12 +117,12 @@
         The owner's record is written first, and only then the name removed from another: a leader that ends in
         between leaves records of which one at least says that the return was asked (safety 5).
         """
-        owner, *others = self._c.rental_index.naming(machine.name) or (None,)
+        owner, *others = self._c.rental_index.rentals_with(machine.name) or (None,)
         if owner is None or not others:
             then()
             return
         self.log.info("machine %s is named by %s too; %s keeps it", machine.name, others[-1].name, owner.name)
-        self.touch(owner, partial(self._release, others[-1], machine, then))
+        self.enqueue(owner, partial(self._release, others[-1], machine, then))
 
     def _release(self, rental: Rental, machine: Machine, then: Effect) -> None:
         if machine.name in rental.machines:  # it may be gone by now
@@ -138,7 +138,7 @@
         entry = self.entry(adopted)
         effects, entry.effects = entry.effects, []
         for effect in effects:
-            self.touch(rental, effect)
+            self.enqueue(rental, effect)
         self._c.rental_index.remove(adopted, machine.name)
         self.settle(adopted)
 
@@ -150,7 +150,7 @@
         rental = Rental(self._new_name(), wish.type, wish.zone, wish.spot, count)
         self._c.rentals[rental.name] = rental
         self.log.info("rent %d %s as %s: %s", rental.count, _told(rental), rental.name, wish.reason)
-        self.touch(rental, lambda: self._c.to_rent.append(rental))
+        self.enqueue(rental, lambda: self._c.to_rent.append(rental))
 
     def _new_name(self) -> str:
         while True:
@@ -197,7 +197,7 @@
         if machine is None:
             self._c.add_machine(name, rental, now_us)
             return
-        others = self._c.rental_index.naming(name)
+        others = self._c.rental_index.rentals_with(name)
         if not others or not all(other.adopted for other in others):
             self._invariants.broken(
                 Rule.RENTAL_MACHINES,
@@ -208,7 +208,7 @@
                 return
         self._c.rental_index.add(rental, name)
         for adopted in others:  # it reported before the answer came
-            if self._c.write_queue.unwritten(self.entry(adopted)):
+            if self._c.write_queue.never_written(self.entry(adopted)):
                 self._absorb(adopted, rental, machine)
         self.keep_one(machine, lambda: None)
 
--- a/src/tideusher/core/lead/reports.py
+++ b/src/tideusher/core/lead/reports.py
@@ -55,7 +55,7 @@
         """
         if (report.session, report.serial) <= (machine.session, machine.serial):
             return None  # late or repeated: what it says is older than what we know
-        new_session = machine.reported_us > 0 and report.session > machine.session
+        new_session = machine.last_contact_us > 0 and report.session > machine.session
         heard_us = now_us
         machine.session, machine.serial = report.session, report.serial
         lost = heeded = False  # was an answer of ours lost, was one carried out?
@@ -63,14 +63,14 @@
             behind = report.token < self._c.token
             lost = behind and machine.closed > (0, 0)
             heeded = bool(machine.behind_us) and not behind
-            if behind and machine.closed == (0, 0) and not machine.reported_us:
+            if behind and machine.closed == (0, 0) and not machine.last_contact_us:
                 # The first that we hear may be a copy from before our election: what controllers told of its silence
                 # holds until it shows that it hears us.
                 heard_us = machine.seen_us or now_us
-            machine.own_us = now_us
+            machine.last_report_us = now_us
             machine.behind_us = (machine.behind_us or now_us) if behind else 0
             machine.closed = (report.session, report.serial)
-        machine.reported_us, machine.probes_failed, machine.found = heard_us, 0, ""
+        machine.last_contact_us, machine.probes_failed, machine.found = heard_us, 0, ""
         self._c.health.heard(machine.zone, now_us)
         machine.address = report.address
         self._c.check_kind(machine, Kind(report.type, report.zone, report.spot), "its own report")
@@ -78,7 +78,7 @@
             machine.phase = UP
             machine.idle_since_us = now_us
             self._c.health.boots.came_up(machine, now_us)
-            if machine.rented_here or machine.listed:
+            if machine.saw_rental_answer or machine.listed:
                 since_s = to_s(now_us - machine.rented_us)
                 self.log.info("machine %s is up %.0f s after its rental", machine.name, since_s)
             else:
@@ -122,7 +122,7 @@
             self.log.debug("%s attempt %d on %s: %s", task.name, task.attempt, task.machine.name, item.state)
             task.state = item.state
             if item.state in (workers.ACTIVE, workers.WAITING):
-                self._c.picture.used_image(task)
+                self._c.cluster_state.used_image(task)
                 self._c.opened += 1
         elif item.state == workers.FETCHING:
             task.machine.images.pop(task.job.spec.image, None)  # we counted on one that is gone
@@ -163,7 +163,7 @@
     def _exited(self, task: Task, item: TaskReport, now_us: int) -> None:
         job, machine = task.job, task.machine
         if item.cause == workers.CAUSE_DONE:
-            machine.error_jobs.clear()
+            machine.failures_by_job.clear()
             self._c.conditions.began(job)  # it may have run between two reports
             if task.running_us is not None:
                 if not job.is_gang:
@@ -184,19 +184,19 @@
 
     def _errored(self, job: Job, machine: Machine, now_us: int) -> None:
         """A failure is mostly the machine's fault; a job that fails everywhere backs off instead."""
-        job.failed_on(machine.name)
+        job.record_failure_on(machine.name)
         job.failures += 1
-        machine.error_jobs[job.spec.id] = machine.error_jobs.get(job.spec.id, 0) + 1
+        machine.failures_by_job[job.spec.id] = machine.failures_by_job.get(job.spec.id, 0) + 1
         pause_us = task_failures.pause_us(job)
         if pause_us:
             job.not_before_us = max(job.not_before_us, now_us + pause_us)
         self._c.look_at_failures(machine, now_us)
 
     def _recalled(self, machine: Machine, recall_s: float, now_us: int) -> None:
-        machine.recall_us = now_us + to_us(recall_s)
-        if machine.draining:
+        machine.recall_deadline_us = now_us + to_us(recall_s)
+        if machine.drain_reason:
             return
-        machine.draining = "the cloud takes it back"
+        machine.drain_reason = "the cloud takes it back"
         self.log.info("machine %s will be taken in %.0f s", machine.name, recall_s)
         self._c.dirty = True
         for task in list(machine.tasks.values()):
--- a/src/tideusher/core/lead/scheduler.py
+++ b/src/tideusher/core/lead/scheduler.py
@@ -14,7 +14,7 @@
 from tideusher.core.decide.refusal_cache import Refusals, rights
 from tideusher.core.decide.task_failures import at_fault
 from tideusher.core.lead.cluster import Cluster
-from tideusher.core.model.records import BOOTING, NO_ROOM, OPEN, UP, Job, Machine, Task
+from tideusher.core.model.records import BOOTING, NO_CAPACITY, OPEN, UP, Job, Machine, Task
 
 RESERVE_S = 12.0
 MOVE_ONE_OF = 40
@@ -100,7 +100,7 @@
         if not self._c.fleet.types:
             return
         for machine in list(self._c.machines.values()):
-            if machine.suspect_us:
+            if machine.suspect_since_us:
                 self._c.look_at_failures(machine, now_us)
             if machine.reserved:
                 job = self._c.jobs.get(machine.reserved)
@@ -126,14 +126,14 @@
         usable = [
             m
             for m in self._c.machines.values()
-            if _usable(m) and now_us - m.own_us < fresh_us and m.free_cpus > 0 and not doubted(m, now_us)
+            if _usable(m) and now_us - m.last_report_us < fresh_us and m.free_cpus > 0 and not doubted(m, now_us)
         ]
         used_gpus = sum(usage[1] for usage in self._c.usage.values())
         # While work that a fall took still waits, no room is kept for work that may come.
         self._c.fleet.refresh_warm(now_us, 0.0 if recovering else used_gpus)
         self._place = {job.spec.id: place for place, job in enumerate(queue)}
         least = Demand.least_of(job.spec for job in waiting)
-        holding = [m for m in usable if least.fits(m.free_cpus, m.free_gpus, m.free_ram)]
+        holding = [m for m in usable if least.fits(m.free_cpus, m.free_gpus, m.free_ram_gb)]
         room = Room(holding, self._c.policy.placement__parts)
         # Nothing but the pass itself changes what is free on own machines while it is made.
         plain = not self._c.rents and not self._gathering.held and not any(m.reserved for m in holding)
@@ -175,7 +175,7 @@
             lambda job: max(0, wall_us - job.submitted_us - patience_us),
             now_us,
             # One that is silent or mute would be held, and the gang would wait for it.
-            lambda m: m.phase == BOOTING or (now_us - m.own_us < fresh_us and not doubted(m, now_us)),
+            lambda m: m.phase == BOOTING or (now_us - m.last_report_us < fresh_us and not doubted(m, now_us)),
         )
         yield
         requests = [request for request in requests if request.job.waits]
@@ -223,7 +223,7 @@
     def _place_or_fail(self, job: Job, room: Room, now_us: int) -> tuple[int, bool]:
         """`_place_job` for all but jobs that are set aside; raises PassFailed, which names the job, for any error."""
         if self._c.failures.set_aside(job.spec.id, now_us):
-            job.waits_for = SET_ASIDE
+            job.waiting_reason = SET_ASIDE
             return 0, False
         try:
             return self._place_job(job, room, now_us)
@@ -242,37 +242,37 @@
             self._nothing.clear()
         whole = count if job.is_gang else 1
         if job.spec.id not in self._favoured and self._nothing.refuses(terms.kind, job.spec, whole):
-            job.waits_for = told_failing(job) if tries else NO_ROOM
+            job.waiting_reason = told_failing(job) if tries else NO_CAPACITY
             return (0 if tries else count), False
         placed = self._place_tasks(job, count, terms, room, now_us)
         if not placed and not (job.live or terms.avoid):
             self._nothing.refused(terms.kind, job.spec, whole)
         left = count - placed
         if tries:
-            job.waits_for = told_failing(job)
+            job.waiting_reason = told_failing(job)
             return 0, True
         if left:
-            job.waits_for = NO_ROOM
+            job.waiting_reason = NO_CAPACITY
         elif job.pending > 0:
-            job.waits_for = _limit_of(job)
+            job.waiting_reason = _limit_of(job)
         return left, True
 
     def _startable(self, job: Job, now_us: int) -> int:
-        """How many tasks of it may start now, if there is room; if none, `waits_for` says why."""
+        """How many tasks of it may start now, if there is room; if none, `waiting_reason` says why."""
         tries = at_fault(job)
         if now_us < job.not_before_us:
-            job.waits_for = told_failing(job) if tries else "a pause after failed starts"
+            job.waiting_reason = told_failing(job) if tries else "a pause after failed starts"
             return 0
-        if job.is_gang and job.live and not job.gathers:
-            job.waits_for = "the end of its last attempt"
+        if job.is_gang and job.live and not job.is_forming:
+            job.waiting_reason = "the end of its last attempt"
             return 0
         count = self._quota_room(job)
         if not count or (job.is_gang and count < job.pending):
-            job.waits_for = _limit_of(job)
+            job.waiting_reason = _limit_of(job)
             return 0
         if tries and not job.is_gang:  # one task at a time shows if it still fails
             if job.live:
-                job.waits_for = told_failing(job)
+                job.waiting_reason = told_failing(job)
                 return 0
             return 1
         return count
@@ -302,7 +302,7 @@
             if beside and not machine.spot and machine.free_gpus > 0:
                 return False
             if short is not None and not machine.spot:
-                if short.fits(machine.free_cpus, machine.free_gpus, machine.free_ram):
+                if short.fits(machine.free_cpus, machine.free_gpus, machine.free_ram_gb):
                     return False
             return (
                 _usable(machine)
@@ -349,7 +349,7 @@
         usable = [m for m in self._c.machines.values() if _usable(m) and not doubted(m, now_us)]
         coming_free = room_of_halted(usable)
         coming = sum(
-            m.free_gpus for m in self._c.machines.values() if m.phase == BOOTING and not m.draining and not m.spot
+            m.free_gpus for m in self._c.machines.values() if m.phase == BOOTING and not m.drain_reason and not m.spot
         )
         stoppable = Stoppable(self._c.active.values(), self._c.standing, self._c.min_run_us, self._c.policy, now_us)
 
@@ -426,7 +426,7 @@
             return
         steady_us = to_us(self._c.policy.fleet__move_after_s)
         up = [m for m in self._c.machines.values() if _usable(m) and not m.reserved]
-        moving = sum(m.draining == MOVED and m.phase == UP for m in self._c.machines.values())
+        moving = sum(m.drain_reason == MOVED and m.phase == UP for m in self._c.machines.values())
         quota = max(1, len(up) // MOVE_ONE_OF) - moving
         sources = [
             m
@@ -452,10 +452,10 @@
             jobs = {task.job.spec.id for task in source.tasks.values()}
             if source.reserved or jobs & moving_jobs:  # reserved: it became the target of another
                 continue
-            others = [m for m in holding if m is not source and not m.draining and not m.reserved]
+            others = [m for m in holding if m is not source and not m.drain_reason and not m.reserved]
             targets = self._targets(source, others)
-            if targets and not self._c.fleet.unmet_without(source, [m for m in up if not m.draining]):
-                source.draining = MOVED
+            if targets and not self._c.fleet.unmet_without(source, [m for m in up if not m.drain_reason]):
+                source.drain_reason = MOVED
                 self._next_move_us = now_us + to_us(self._c.policy.fleet__move_pause_s)
                 quota -= 1
                 moving_jobs |= jobs
@@ -508,7 +508,7 @@
         """Give back what is hardly used or idles."""
         self._consolidate(now_us)
         for machine in self._c.machines.values():
-            if machine.draining == MOVED and machine.phase == UP and not machine.tasks:
+            if machine.drain_reason == MOVED and machine.phase == UP and not machine.tasks:
                 self._c.give_back(machine, MOVED)
         for machine, reason in self._c.fleet.surplus(now_us, self._not_held()):
             if self._c.truth.of(machine.zone):
@@ -539,4 +539,4 @@
 
 def _usable(machine: Machine) -> bool:
     """May work be placed on the machine? One whose return was asked in a pause never again (safety 5)."""
-    return machine.phase == UP and not machine.draining and not machine.suspect_us
+    return machine.phase == UP and not machine.drain_reason and not machine.suspect_since_us
--- a/src/tideusher/core/lead/soft_state.py
+++ b/src/tideusher/core/lead/soft_state.py
@@ -9,7 +9,7 @@
 
 from tideusher.clock import SECOND_US
 from tideusher.core.lead.engine import Engine
-from tideusher.core.model.contacts import Sightings
+from tideusher.core.model.contacts import WorkerContacts
 from tideusher.wire.peers import Failing, Refused, Reserved, Soft
 
 #: Of each kind so many are told, the ones that weigh most.
@@ -64,10 +64,10 @@
     return ""
 
 
-def take_sightings(engine: Engine, sightings: Sightings, now_us: int) -> None:
+def take_sightings(engine: Engine, contacts: WorkerContacts, now_us: int) -> None:
     """Since when each inherited machine is silent, and where it can be called, as far as any controller told."""
     for machine in engine.cluster.machines.values():
-        seen = sightings.last(machine.name, now_us)
+        seen = contacts.last(machine.name, now_us)
         if seen is not None:
             machine.seen_us, machine.address = seen[0], machine.address or seen[1]
 
@@ -93,8 +93,8 @@
         job.failures = max(job.failures, failing.failures)
         job.not_before_us = max(job.not_before_us, now_us + failing.pause_ms * 1000 - since_us)
         for name in failing.machines:
-            job.failed_on(name)
+            job.record_failure_on(name)
             if name in cluster.machines:
-                cluster.machines[name].error_jobs.setdefault(failing.job, 1)
+                cluster.machines[name].failures_by_job.setdefault(failing.job, 1)
         used += 1
     return used
--- a/src/tideusher/core/lead/standby.py
+++ b/src/tideusher/core/lead/standby.py
@@ -13,7 +13,7 @@
 
 from tideusher.config import Config, Policy
 from tideusher.core.model import keys
-from tideusher.core.model.cluster_state import Picture, RecordOf, in_order
+from tideusher.core.model.cluster_state import ClusterState, RecordOf, in_dependency_order
 from tideusher.core.model.job_record import is_final
 
 #: Changes applied in one piece, records compared with the picture in one, and stamps at a takeover: some 3 ms each.
@@ -33,7 +33,7 @@
 class Caught:
     """What a takeover found of the picture that was followed."""
 
-    picture: Picture
+    cluster_state: ClusterState
     late: int  # records whose newest change had not been applied
     rebuilt: bool  # was it built anew because it differed?
 
@@ -54,7 +54,7 @@
         self._record_of, self._mirror = record_of, mirror
         self._changes: deque[tuple[str, Any, int, bool]] = deque()
         self._to_audit: deque[str] = deque()
-        self._picture: Picture | None = None
+        self._picture: ClusterState | None = None
         self._to_check: list[str] | None = None  # at a takeover: records whose stamps have yet to be compared
         self._late, self._twice = 0, False
         self.rebuilds = 0
@@ -63,12 +63,12 @@
 
     def begin(self, now_us: int) -> None:
         """Build from all that is mirrored: at the start, after a leadership, or because a difference was found."""
-        self._picture = Picture(self._config, self._policy, now_us, self._wall_us, self._record_of)
+        self._picture = ClusterState(self._config, self._policy, now_us, self._wall_us, self._record_of)
         self._changes.clear()
         self._to_audit.clear()
         self._to_check = None
         mirror = self._mirror()
-        for key in in_order(key for key, stored in mirror.items() if not is_final(key, stored.value)):
+        for key in in_dependency_order(key for key, stored in mirror.items() if not is_final(key, stored.value)):
             self._changes.append((key, mirror[key].value, mirror[key].stamp, True))
 
     def end(self) -> None:
@@ -83,7 +83,7 @@
         self.end()
 
     @property
-    def picture(self) -> Picture | None:
+    def cluster_state(self) -> ClusterState | None:
         """What was followed so far; None: nothing yet, or we lead."""
         return self._picture
 
@@ -101,24 +101,24 @@
 
     def piece(self, now_us: int) -> bool:
         """Apply a bounded number of changes; True if there are more."""
-        picture = self._picture
-        if picture is None:
+        cluster_state = self._picture
+        if cluster_state is None:
             return False
         left = PIECE
         while self._changes and left > 0:
             key, value, stamp, was_there = self._changes.popleft()
             left -= _records_in(key, value) if was_there else 1  # of a page that changes, few records do
-            picture.building = was_there  # of what was there already nobody knows since when
-            picture.apply(key, value, stamp, now_us)
-        picture.building = False
+            cluster_state.rebuilding = was_there  # of what was there already nobody knows since when
+            cluster_state.apply(key, value, stamp, now_us)
+        cluster_state.rebuilding = False
         return bool(self._changes)
 
     # ---------------------------------------------------------------- is it true?
 
     def audit(self, now_us: int) -> list[str]:
         """Compare some records with the picture; builds it anew and returns their keys if any differ."""
-        picture, mirror = self._picture, self._mirror()
-        if picture is None or self._changes:
+        cluster_state, mirror = self._picture, self._mirror()
+        if cluster_state is None or self._changes:
             return []  # with changes to come it may differ
         if not self._to_audit:
             self._to_audit.extend(mirror)
@@ -127,12 +127,12 @@
             key = self._to_audit.popleft()
             stored = mirror.get(key)
             left -= 1 if stored is None else _records_in(key, stored.value)
-            if stored is not None and not picture.says(key, stored.value):
+            if stored is not None and not cluster_state.says(key, stored.value):
                 wrong.append(key)
         stray = [
             name
-            for name, machine in picture.machines.items()
-            if (rental := picture.rentals.get(machine.rental)) is None or name not in rental.machines
+            for name, machine in cluster_state.machines.items()
+            if (rental := cluster_state.rentals.get(machine.rental)) is None or name not in rental.machines
         ]
         if wrong or stray:
             self._rebuild(wrong + stray, now_us)
@@ -140,8 +140,11 @@
 
     def _rebuild(self, wrong: list[str], now_us: int) -> None:
         self.rebuilds += 1
-        picture, mirror = self._picture, self._mirror()
-        told = [picture.unlike(key, mirror[key].value) if picture and key in mirror else key for key in wrong[:NAMED]]
+        cluster_state, mirror = self._picture, self._mirror()
+        told = [
+            cluster_state.describe_mismatch(key, mirror[key].value) if cluster_state and key in mirror else key
+            for key in wrong[:NAMED]
+        ]
         names = ", ".join(told)
         self.log.error("the picture differs in %d records and is built anew: %s", len(wrong), names)
         self.begin(now_us)
@@ -158,34 +161,34 @@
             self.begin(now_us)
         if self.piece(now_us):
             return None
-        picture, mirror = self._picture, self._mirror()
-        assert picture is not None
+        cluster_state, mirror = self._picture, self._mirror()
+        assert cluster_state is not None
         if self._to_check is None:
             self._to_check, self._late = list(mirror), 0
         for _ in range(min(CHECKED, len(self._to_check))):
             key = self._to_check.pop()
             stored = mirror.get(key)
-            if stored is not None and not picture.has(key, stored.value, stored.stamp):
-                picture.apply(key, stored.value, stored.stamp, now_us)
+            if stored is not None and not cluster_state.has_applied(key, stored.value, stored.stamp):
+                cluster_state.apply(key, stored.value, stored.stamp, now_us)
                 self._late += 1
         if self._to_check:
             return None
         self._to_check = None
-        for key in [key for key in picture.stamps if key not in mirror]:
-            picture.apply(key, None, 0, now_us)
+        for key in [key for key in cluster_state.stamps if key not in mirror]:
+            cluster_state.apply(key, None, 0, now_us)
             self._late += 1
-        if self._late and not self._twice and not self._true(picture, mirror):
+        if self._late and not self._twice and not self._true(cluster_state, mirror):
             self._twice = True
             self._rebuild(["records that were never told"], now_us)
             return None
-        caught = Caught(picture, self._late, self._twice)
+        caught = Caught(cluster_state, self._late, self._twice)
         self.end()
         return caught
 
     @staticmethod
-    def _true(picture: Picture, mirror: Mapping[str, Record]) -> bool:
+    def _true(cluster_state: ClusterState, mirror: Mapping[str, Record]) -> bool:
         """After records that were not told in their order: does the picture say what all of them say?"""
-        return all(picture.says(key, stored.value) for key, stored in mirror.items())
+        return all(cluster_state.says(key, stored.value) for key, stored in mirror.items())
 
 
 def _records_in(key: str, value: Any) -> int:
--- a/src/tideusher/core/model/audit.py
+++ b/src/tideusher/core/model/audit.py
@@ -40,7 +40,7 @@
         """The own record of a job with tasks on known machines, as far as it says what the job is."""
 
 
-def outline(picture: Pictured) -> dict[str, Any]:
+def comparable(cluster_state: Pictured) -> dict[str, Any]:
     """All that a record says, in plain values: the same for a follower and a rebuild, whatever came when."""
     return {
         "jobs": {
@@ -52,90 +52,90 @@
                 "over": (job.done_count, job.failed_count),
                 "chunks": {n: (c.attempts, c.done, c.failed, c.stamp) for n, c in sorted(job.chunks.items())},
                 "live": {i: (t.attempt, t.machine.name, t.began_s) for i, t in sorted(job.live.items())},
-                "next": job.pick(CHUNK_TASKS),
+                "next": job.next_pending(CHUNK_TASKS),
                 "stops": job.stops,
             }
-            for name, job in sorted(picture.jobs.items())
+            for name, job in sorted(cluster_state.jobs.items())
         },
-        "active": sorted(picture.active),
+        "active": sorted(cluster_state.active),
         "machines": {
             name: (
                 machine.rental,
                 machine.phase == RETURNING,
                 (machine.cpus, machine.gpus, machine.ram_gb),
                 sorted(machine.tasks),
-                tuple(round(v, 6) for v in (machine.free_cpus, machine.free_gpus, machine.free_ram)),
+                tuple(round(v, 6) for v in (machine.free_cpus, machine.free_gpus, machine.free_ram_gb)),
             )
-            for name, machine in sorted(picture.machines.items())
+            for name, machine in sorted(cluster_state.machines.items())
         },
-        "rentals": {name: rental.value() for name, rental in sorted(picture.rentals.items())},
-        "usage": {team: [round(v, 6) for v in use] for team, use in picture.usage.items() if any(use)},
-        "types": sorted(picture.types),
-        "charged": {team: round(picture.ledger.charged(team), 3) for team in picture.teams},
-        "falls": sorted(picture.falls),
-        "unsettled": sorted(picture.unsettled),
-        "orphans": sorted(picture.orphans.items()),
-        "stamps": dict(sorted(picture.stamps.items())),
+        "rentals": {name: rental.value() for name, rental in sorted(cluster_state.rentals.items())},
+        "usage": {team: [round(v, 6) for v in use] for team, use in cluster_state.usage.items() if any(use)},
+        "types": sorted(cluster_state.types),
+        "charged": {team: round(cluster_state.ledger.charged(team), 3) for team in cluster_state.teams},
+        "falls": sorted(cluster_state.falls),
+        "unsettled": sorted(cluster_state.unsettled),
+        "orphans": sorted(cluster_state.orphans.items()),
+        "stamps": dict(sorted(cluster_state.stamps.items())),
     }
 
 
-def says(picture: Pictured, key: str, value: Any) -> bool:
+def says(cluster_state: Pictured, key: str, value: Any) -> bool:
     """Does the picture say what this record says? What a forgotten transition would leave behind, it does not."""
     if key.startswith(keys.CHUNK_PREFIX):
-        return _says_chunk(picture, key, value)
+        return _says_chunk(cluster_state, key, value)
     if key.startswith(keys.PAGE_PREFIX):
-        return picture.placements.page(key) == value and not _unlike_in_page(picture, key, value)
+        return cluster_state.placements.page(key) == value and not _unlike_in_page(cluster_state, key, value)
     if key.startswith(keys.JOB_PREFIX):
-        return _says_job(picture, key[len(keys.JOB_PREFIX) :], value)
+        return _says_job(cluster_state, key[len(keys.JOB_PREFIX) :], value)
     if key.startswith(keys.RENTAL_PREFIX):
-        return _says_rental(picture, key[len(keys.RENTAL_PREFIX) :], value)
+        return _says_rental(cluster_state, key[len(keys.RENTAL_PREFIX) :], value)
     return True
 
 
-def unlike(picture: Pictured, key: str, value: Any) -> str:
+def describe_mismatch(cluster_state: Pictured, key: str, value: Any) -> str:
     """What of a record the picture does not say: the key, and of a page the jobs with what it has of them."""
-    if not key.startswith(keys.PAGE_PREFIX) or picture.placements.page(key) != value:
+    if not key.startswith(keys.PAGE_PREFIX) or cluster_state.placements.page(key) != value:
         return key
-    jobs = [f"{job_id} {value[job_id]}" for job_id in _unlike_in_page(picture, key, value)]
+    jobs = [f"{job_id} {value[job_id]}" for job_id in _unlike_in_page(cluster_state, key, value)]
     return f"{key} ({', '.join(jobs[:JOBS_NAMED])})"
 
 
-def _says_job(picture: Pictured, job_id: str, value: dict[str, Any]) -> bool:
-    job = picture.jobs.get(job_id)
+def _says_job(cluster_state: Pictured, job_id: str, value: dict[str, Any]) -> bool:
+    job = cluster_state.jobs.get(job_id)
     if job is None:
         return value["st"] != OPEN
     return job.status == value["st"] and (job.status != OPEN or job.spec.tasks == value["spec"]["pieces"])
 
 
-def _says_rental(picture: Pictured, name: str, value: dict[str, Any]) -> bool:
-    rental = picture.rentals.get(name)
+def _says_rental(cluster_state: Pictured, name: str, value: dict[str, Any]) -> bool:
+    rental = cluster_state.rentals.get(name)
     if rental is None:
         return False
     known = rental.answered, rental.machines, rental.returning
     if known != (value["answered"], value["machines"], value["returning"]):
         return False
-    return all(host in picture.machines for host in rental.machines)
+    return all(host in cluster_state.machines for host in rental.machines)
 
 
-def _unlike_in_page(picture: Pictured, key: str, value: dict[str, Any]) -> list[str]:
+def _unlike_in_page(cluster_state: Pictured, key: str, value: dict[str, Any]) -> list[str]:
     """The jobs of the page of which the picture says something else."""
-    here = [job_id for job_id in value if picture.placements.is_in(job_id, key)]
-    return [job_id for job_id in here if not _says_shared(picture, job_id, value[job_id])]
+    here = [job_id for job_id in value if cluster_state.placements.is_in(job_id, key)]
+    return [job_id for job_id in here if not _says_shared(cluster_state, job_id, value[job_id])]
 
 
-def _says_chunk(picture: Pictured, key: str, value: dict[str, Any]) -> bool:
+def _says_chunk(cluster_state: Pictured, key: str, value: dict[str, Any]) -> bool:
     job_id, number = keys.split_chunk_key(key)
-    job = picture.jobs.get(job_id)
+    job = cluster_state.jobs.get(job_id)
     if job is None:
-        return key in picture.orphans and picture.value_on_machines(job_id, value) is None
-    return _says_tasks(job, number, value, picture.machines)
+        return key in cluster_state.orphans and cluster_state.value_on_machines(job_id, value) is None
+    return _says_tasks(job, number, value, cluster_state.machines)
 
 
-def _says_shared(picture: Pictured, job_id: str, value: dict[str, Any]) -> bool:
-    job = picture.jobs.get(job_id)
+def _says_shared(cluster_state: Pictured, job_id: str, value: dict[str, Any]) -> bool:
+    job = cluster_state.jobs.get(job_id)
     if job is not None:
-        return _says_tasks(job, 0, value, picture.machines)
-    return picture.value_on_machines(job_id, value) is None
+        return _says_tasks(job, 0, value, cluster_state.machines)
+    return cluster_state.value_on_machines(job_id, value) is None
 
 
 def _says_tasks(job: Job, number: int, value: dict[str, Any], machines: Mapping[str, Machine]) -> bool:
--- a/src/tideusher/core/model/cluster_state.py
+++ b/src/tideusher/core/model/cluster_state.py
@@ -17,7 +17,7 @@
 from tideusher.config import Config, Policy, Team
 from tideusher.core.model import audit, keys
 from tideusher.core.model.arrivals import Arrivals
-from tideusher.core.model.contacts import Zones
+from tideusher.core.model.contacts import ZoneContacts
 from tideusher.core.model.held_records import HeldRecord, HeldRecords, RecordName
 from tideusher.core.model.job_record import holder, is_final
 from tideusher.core.model.ledger import Ledger
@@ -54,7 +54,7 @@
 )
 
 
-class Picture:
+class ClusterState:
     """Owns the jobs, machines, rentals and charges; who leads changes them by its own transitions."""
 
     def __init__(
@@ -80,7 +80,7 @@
             settings.teams, policy, now_us, wall_us(), int(settings.state.value_kb * 1024) if settings.state else None
         )
         self.arrivals = Arrivals()
-        self.zones = Zones(to_us(settings.workers.report_s) if settings.workers else 0)
+        self.zones = ZoneContacts(to_us(settings.workers.report_s) if settings.workers else 0)
         #: Machines whose return was confirmed: one that reports all the same is returned again.
         self.gone: set[str] = set()
         self.falls: dict[str, tuple[dict[str, Any], int]] = {}
@@ -95,9 +95,9 @@
         self.unsettled: dict[str, None] = {}
         self.orphans: dict[str, int] = {}
         self.conditional: dict[str, None] = {}
-        self.uncharged: list[Task] = []
+        self.uncharged_starts: list[Task] = []
         self._held = HeldRecords()
-        self.building = False
+        self.rebuilding = False
 
     # ---------------------------------------------------------------- records, one at a time
 
@@ -126,21 +126,21 @@
             else:
                 self.falls[key] = (value, stamp)
         elif key == keys.TYPES and value is not None:
-            self.learn_types(msgspec.convert(value, list[MachineType]))
+            self.set_machine_types(msgspec.convert(value, list[MachineType]))
         elif key == keys.RATIOS and value is not None:
             self.ledger.restore(value, now_us, self._wall_us())
-            self.uncharged.clear()
+            self.uncharged_starts.clear()
 
     def build(self, items: Mapping[str, tuple[Any, int]], now_us: int) -> None:
         """Apply all records: what a node does that has followed nothing yet."""
         known, self._record_of = self._record_of, lambda job_id: items.get(keys.job_key(job_id), (None, 0))[0]
-        self.building = True  # of what is there already nobody knows since when
-        for key in in_order(items):
+        self.rebuilding = True  # of what is there already nobody knows since when
+        for key in in_dependency_order(items):
             value, stamp = items[key]
             self.apply(key, {} if value is None else value, stamp, now_us)
-        self.building, self._record_of = False, known
+        self.rebuilding, self._record_of = False, known
 
-    def has(self, key: str, value: Any, stamp: int) -> bool:
+    def has_applied(self, key: str, value: Any, stamp: int) -> bool:
         """Was this record applied? Of jobs that are over nothing is kept, not even that: there are millions."""
         if is_final(key, value):
             return key[len(keys.JOB_PREFIX) :] not in self.jobs or key not in self.stamps
@@ -164,7 +164,7 @@
         tasks = value["spec"]["pieces"] if job.status == OPEN else job.spec.tasks
         return False, job.shrink(tasks) if tasks < job.spec.tasks else []
 
-    def waits_from(self, job: Job, came_us: int) -> None:
+    def activate(self, job: Job, came_us: int) -> None:
         """Passes look at the job from now on."""
         self.active[job.spec.id] = job
         self.arrivals.came(job.spec, came_us)
@@ -203,7 +203,7 @@
         if job.hold or job.spec.conditional:
             self.conditional[job.spec.id] = None
         else:
-            self.waits_from(job, now_us - max(0, self._wall_us() - job.submitted_us))
+            self.activate(job, now_us - max(0, self._wall_us() - job.submitted_us))
 
     def _note(self, job: Job) -> None:
         """Does the job want something of a leader's first moments? One that is over and nowhere is forgotten."""
@@ -335,9 +335,9 @@
         if task is None:
             task = Task(job, index, attempt, machine, ASSIGNED, now_us, sent=(0, 0), inherited=True)
             first = job.charge_once(index)  # by the leader that placed it
-            task.ready_us = 0 if self.building else now_us + self._fetch_us(task)
-            if first and not self.building:
-                self.uncharged.append(task)
+            task.ready_us = 0 if self.rebuilding else now_us + self._fetch_us(task)
+            if first and not self.rebuilding:
+                self.uncharged_starts.append(task)
             self.place(task)
         task.began_s = began_s
         return True
@@ -381,7 +381,7 @@
 
     # ---------------------------------------------------------------- machines
 
-    def learn_types(self, types: Iterable[MachineType]) -> None:
+    def set_machine_types(self, types: Iterable[MachineType]) -> None:
         """Machine types became known or prices changed."""
         first = not self.types
         self.types.clear()
@@ -392,7 +392,7 @@
                 machine.cpus, machine.gpus, machine.ram_gb = kind.cpus, kind.gpus, kind.ram_gb
                 machine.free_cpus += kind.cpus
                 machine.free_gpus += kind.gpus
-                machine.free_ram += kind.ram_gb
+                machine.free_ram_gb += kind.ram_gb
 
     def add_machine(self, name: str, rental: Rental, now_us: int) -> Machine:
         """A machine is known from now on."""
@@ -431,9 +431,9 @@
         if machine is not None:
             self._read_return(machine)
             return
-        machine = self.add_machine(host, self.rental_index.naming(host)[0], now_us)
+        machine = self.add_machine(host, self.rental_index.rentals_with(host)[0], now_us)
         machine.inherited = True
-        machine.rented_here = not self.building
+        machine.saw_rental_answer = not self.rebuilding
         self._read_return(machine)
         for name in self._held.on_machine(host):
             record = self._held.get(name)  # None: it was read with another of its job
@@ -445,7 +445,7 @@
         machine = self.machines.get(host)
         if machine is None:
             return
-        if self.rental_index.naming(host):
+        if self.rental_index.rentals_with(host):
             self._read_return(machine)
             return
         del self.machines[host]
@@ -460,24 +460,24 @@
         asked = self.rental_index.return_asked(machine.name)
         if asked != (machine.phase == RETURNING):
             machine.phase = RETURNING if asked else BOOTING
-            machine.draining = "its return was asked" if asked else ""
+            machine.drain_reason = "its return was asked" if asked else ""
 
     # ---------------------------------------------------------------- is it true?
 
-    def outline(self) -> dict[str, Any]:
+    def comparable(self) -> dict[str, Any]:
         """All that a record says, in plain values: the same for a follower and a rebuild, whatever came when."""
-        return audit.outline(self)
+        return audit.comparable(self)
 
     def says(self, key: str, value: Any) -> bool:
         """Does the picture say what this record says?"""
         return audit.says(self, key, value)
 
-    def unlike(self, key: str, value: Any) -> str:
+    def describe_mismatch(self, key: str, value: Any) -> str:
         """What of a record the picture does not say, for the log."""
-        return audit.unlike(self, key, value)
+        return audit.describe_mismatch(self, key, value)
 
 
-def in_order(names: Iterable[str]) -> list[str]:
+def in_dependency_order(names: Iterable[str]) -> list[str]:
     """Keys in the order in which one record rests on another."""
 
     def place(key: str) -> tuple[int, str]:
--- a/src/tideusher/core/model/contacts.py
+++ b/src/tideusher/core/model/contacts.py
@@ -14,7 +14,7 @@
 from tideusher.wire.peers import Seen
 
 #: So many lines leave with one heartbeat; more wait for the next.
-MOST_LINES = 200
+MAX_LINES_PER_HEARTBEAT = 200
 #: A worker that was silent for so long here reports elsewhere, or nowhere: it is left out.
 FORGET_US = 60 * SECOND_US
 
@@ -28,7 +28,7 @@
     line: int  # number of the newest change told of it
 
 
-class Own:
+class LocalContacts:
     """The workers that report here."""
 
     def __init__(self, report_us: int) -> None:
@@ -60,7 +60,7 @@
                 worker.silent, worker.line = True, self._next()
         changed = sorted((worker.line, name) for name, worker in self._workers.items() if worker.line > since)
         lines = []
-        for line, name in changed[:MOST_LINES]:
+        for line, name in changed[:MAX_LINES_PER_HEARTBEAT]:
             worker, since = self._workers[name], line
             silent_ms = max(1, (now_us - worker.last_us) // 1000) if worker.silent else 0
             lines.append(Seen(name, worker.address, silent_ms))
@@ -76,7 +76,7 @@
         worker = self._workers.get(machine)
         return (worker.last_us, worker.address) if worker is not None else None
 
-    def heard_now(self, now_us: int) -> list[str]:
+    def reporting_zones(self, now_us: int) -> list[str]:
         """The zones of workers that are not silent."""
         return list({w.zone for w in self._workers.values() if now_us - w.last_us <= self._silent_us})
 
@@ -89,10 +89,10 @@
     told_us: int = 0  # when it last spoke
 
 
-class Sightings:
+class WorkerContacts:
     """What all controllers hear, as far as they told us."""
 
-    def __init__(self, own: Own, speaks: Callable[[str], bool] = lambda node: True) -> None:
+    def __init__(self, own: LocalContacts, speaks: Callable[[str], bool] = lambda node: True) -> None:
         self.own = own
         self._speaks = speaks  # is this other controller heard by us right now?
         self._tables: dict[str, _Table] = {}
@@ -133,16 +133,16 @@
                 found = (since_us, address)
         return found
 
-    def heard_zones(self, zone_of: Callable[[str], str | None], now_us: int) -> set[str]:
+    def all_reporting_zones(self, zone_of: Callable[[str], str | None], now_us: int) -> set[str]:
         """Zones of which some controller that speaks to us hears a worker right now."""
-        zones: set[str | None] = set(self.own.heard_now(now_us))
+        zones: set[str | None] = set(self.own.reporting_zones(now_us))
         for node, table in self._tables.items():
             if self._speaks(node):
                 zones |= {zone_of(name) for name, (_, since_us) in table.workers.items() if since_us is None}
         return {zone for zone in zones if zone}
 
 
-class Zones:
+class ZoneContacts:
     """Since when each zone is heard without a gap; followed, so that it does not begin anew with a leader."""
 
     def __init__(self, report_us: int) -> None:
--- a/src/tideusher/core/model/entries.py
+++ b/src/tideusher/core/model/entries.py
@@ -16,7 +16,7 @@
     key: str
     value: Callable[[], Any]  # None: the key is to be removed
     stamp: int  # of the record of its own; 0: there is none
-    also: Callable[[], list[Guard]] = list  # more guards, such as the job's own key
+    extra_guards: Callable[[], list[Guard]] = list  # more guards, such as the job's own key
     effects: list[Effect] = field(default_factory=list)
     dirty: bool = False
     valid: Callable[[], bool] = lambda: True  # false: the write has lost its point and is dropped
--- a/src/tideusher/core/model/fair_queue.py
+++ b/src/tideusher/core/model/fair_queue.py
@@ -24,7 +24,7 @@
         return next(iter(self.entries.values()))[0]
 
 
-class TurnQueue:
+class FairQueue:
     """Entries by key, in the order of their turns."""
 
     def __init__(self) -> None:
--- a/src/tideusher/core/model/pages.py
+++ b/src/tideusher/core/model/pages.py
@@ -88,13 +88,13 @@
         self.fenced = False
 
     def load(
-        self, stored: Iterable[tuple[str, Mapping[str, Any], int]], homes: Mapping[str, str], fenced: bool
+        self, stored: Iterable[tuple[str, Mapping[str, Any], int]], pages_by_job: Mapping[str, str], fenced: bool
     ) -> None:
-        """Take over what is stored; `homes` names the page of each job, what else is there is wanted no more."""
+        """Take over what is stored; `pages_by_job` names the page of each job, what else is there is wanted no more."""
         self.fenced = fenced
         for key, members, stamp in stored:
             page = self._pages[keys.page_number(key)] = Page(keys.page_number(key))
-            page.hold(members, stamp, {member for member in members if homes.get(member) != key})
+            page.hold(members, stamp, {member for member in members if pages_by_job.get(member) != key})
             self._settle(page)
 
     @property
@@ -108,7 +108,7 @@
         return bool(self._pages)
 
     @property
-    def homes(self) -> Mapping[str, Page]:
+    def pages_by_job(self) -> Mapping[str, Page]:
         """The page of each job that is in one."""
         return self._homes
 
--- a/src/tideusher/core/model/placements.py
+++ b/src/tideusher/core/model/placements.py
@@ -50,7 +50,7 @@
         """Each page with its members."""
         return iter(self._pages.items())
 
-    def homes(self) -> dict[str, str]:
+    def pages_by_job(self) -> dict[str, str]:
         """The page of each job whose newest record is in one."""
         return {job: one.key for job, one in self._first.items() if one.key in self._pages}
 
--- a/src/tideusher/core/model/records.py
+++ b/src/tideusher/core/model/records.py
@@ -24,7 +24,7 @@
 
 CRITICAL = PRIORITIES.index("critical")  # the highest rank
 #: What a job waits for that only a machine can give.
-NO_ROOM = "room on a machine"
+NO_CAPACITY = "room on a machine"
 
 OPEN, JOB_DONE, JOB_CANCELLED = "open", "done", "cancelled"
 
@@ -100,13 +100,13 @@
     finish_dirty: bool = False
     started: set[int] | None = None  # tasks whose minimum runtime was charged
     runs: deque[tuple[str, int]] | None = None  # machine and run time of the last few
-    waits_for: str = "its first look by the scheduler"
+    waiting_reason: str = "its first look by the scheduler"
     failed_count: int = 0
     widest: int = 0  # one more than the highest task that ever held a place: a service may have been shrunk
     hold: str = ""  # by whom it is held; empty: by nobody
-    early_us: int = 0  # time of day before which nothing of it starts; 0: there is none, or it has come
+    start_after_us: int = 0  # time of day before which nothing of it starts; 0: there is none, or it has come
     unmet: tuple[tuple[str, str], ...] = ()  # (kind, job) it still waits for
-    woken: bool = False  # was it ever kept from passes?
+    was_blocked: bool = False  # was it ever kept from passes?
     ran: bool = False  # has this leader been told of a task of it that runs?
     whole: bool = False  # did all its tasks begin to run, as far as this leader was told?
     why: str = ""  # why the service ended it
@@ -117,7 +117,7 @@
         return self.spec.shape == GANG
 
     @property
-    def gathers(self) -> bool:
+    def is_forming(self) -> bool:
         """A gang of which nothing has run yet: a replacement may still join its attempt."""
         return bool(self.live) and all(
             not task.inherited and task.halt_grace_s is None and task.state in ("", FETCHING, WAITING)
@@ -161,14 +161,14 @@
     @property
     def blocked(self) -> bool:
         """Must it not start anything, whatever room there is?"""
-        return bool(self.hold or self.early_us or self.unmet)
+        return bool(self.hold or self.start_after_us or self.unmet)
 
     @property
     def waits(self) -> bool:
         """Does it want places? Asked of every job several times a pass, hence in one expression."""
         return (
             self.status == OPEN
-            and not (self.hold or self.early_us or self.unmet)
+            and not (self.hold or self.start_after_us or self.unmet)
             and self.spec.tasks - self.done_count - self.failed_count > len(self.live)
         )
 
@@ -195,7 +195,7 @@
         chunk = self.chunks.get(index // CHUNK_TASKS)
         return chunk is not None and bool((chunk.done | chunk.failed) >> (index % CHUNK_TASKS) & 1)
 
-    def pick(self, count: int) -> list[int]:
+    def next_pending(self, count: int) -> list[int]:
         """Up to `count` tasks that wait for a place, interrupted ones first."""
         retry = self.retry or ()
         picked = sorted(retry)[:count]
@@ -245,7 +245,7 @@
         self.started.add(index)
         return news
 
-    def failed_on(self, machine: str) -> None:
+    def record_failure_on(self, machine: str) -> None:
         """A task of it failed there: others are tried first."""
         self.error_machines = self.error_machines or set()
         self.error_machines.add(machine)
@@ -337,41 +337,41 @@
     closed: tuple[int, int] = (0, 0)
     missed: int = 0  # answers in a row that had no effect
     missed_us: int = 0  # when the last of these was found
-    deaf_until_us: int = 0  # nothing is placed there until then
+    unresponsive_until_us: int = 0  # nothing is placed there until then
     behind_us: int = 0  # since when its reports show an older token although we answered; 0: they do not
-    reported_us: int = 0  # when it was heard last, by a report or in a direct answer
-    own_us: int = 0  # when it last reported by itself: only then can it be told to start anything
+    last_contact_us: int = 0  # when it was heard last, by a report or in a direct answer
+    last_report_us: int = 0  # when it last reported by itself: only then can it be told to start anything
     idle_since_us: int = 0
-    recall_us: int | None = None
-    draining: str = ""  # why no new work goes here; empty: it may
+    recall_deadline_us: int | None = None
+    drain_reason: str = ""  # why no new work goes here; empty: it may
     tasks: dict[tuple[str, int], Task] = field(default_factory=dict)
     images: dict[str, float] = field(default_factory=dict)
-    error_jobs: dict[str, int] = field(default_factory=dict)  # failures here by job, since a task was last done
-    suspect_us: int = 0  # since when it may be at fault for what failed here; 0: it is not
+    failures_by_job: dict[str, int] = field(default_factory=dict)  # failures here by job, since a task was last done
+    suspect_since_us: int = 0  # since when it may be at fault for what failed here; 0: it is not
     probes_failed: int = 0
     found: str = ""  # what the last call to it found, while it is silent
-    asked_us: int = 0  # when it was last called
-    fall: str = ""  # the fall that took it
-    pace: float = 1.0  # run times here over those of the same jobs elsewhere, smoothed
+    last_probe_us: int = 0  # when it was last called
+    mass_failure: str = ""  # the fall that took it
+    relative_runtime: float = 1.0  # run times here over those of the same jobs elsewhere, smoothed
     listed: str = ""
     inherited: bool = False  # known from an earlier leader's record
     seen_us: int = 0  # inherited: when some controller last heard it, at the latest; 0: nobody told us
-    rented_here: bool = True  # did we see its rental answered? Else `rented_us` is no more than when we looked
+    saw_rental_answer: bool = True  # did we see its rental answered? Else `rented_us` is no more than when we looked
     reserved: str = ""  # the job that stops were made for; nobody else may use the room
     reserved_until_us: int = 0
     free_cpus: float = 0.0
     free_gpus: float = 0.0
-    free_ram: float = 0.0
+    free_ram_gb: float = 0.0
 
     def __post_init__(self) -> None:
-        self.free_cpus, self.free_gpus, self.free_ram = self.cpus, self.gpus, self.ram_gb
+        self.free_cpus, self.free_gpus, self.free_ram_gb = self.cpus, self.gpus, self.ram_gb
 
     def fits(self, spec: JobSpec) -> bool:
         """Is there room for one task of this job?"""
         return (
             self.free_cpus + 1e-9 >= spec.cpus
             and self.free_gpus + 1e-9 >= spec.gpus
-            and self.free_ram + 1e-9 >= spec.ram_gb
+            and self.free_ram_gb + 1e-9 >= spec.ram_gb
         )
 
     def allows(self, spec: JobSpec) -> bool:
@@ -384,17 +384,17 @@
         others = [other_us for name, other_us in job.runs if name != self.name]
         job.runs.append((self.name, run_us))
         if len(others) >= 2:
-            self.pace += PACE_WEIGHT * (run_us / max(1.0, median(others)) - self.pace)
+            self.relative_runtime += PACE_WEIGHT * (run_us / max(1.0, median(others)) - self.relative_runtime)
 
     @property
     def last_us(self) -> int:
         """When it was last heard by this leader or, before it, by any controller; 0: never, as far as was told."""
-        return self.reported_us or self.seen_us
+        return self.last_contact_us or self.seen_us
 
     @property
     def slow(self) -> bool:
         """Clearly slower than others: work goes elsewhere while it can, and it is returned first."""
-        return self.pace > SLOW_PACE
+        return self.relative_runtime > SLOW_PACE
 
     def used_image(self, image: str, size_gb: float, cache_gb: float) -> None:
         """A task here has the image: it is the most recently used; the oldest beyond the cache are gone.
@@ -426,7 +426,7 @@
         self.tasks[spec.id, task.index] = task
         self.free_cpus -= spec.cpus
         self.free_gpus -= spec.gpus
-        self.free_ram -= spec.ram_gb
+        self.free_ram_gb -= spec.ram_gb
 
     def remove(self, task: Task) -> None:
         """Give the task's room back."""
@@ -435,4 +435,4 @@
             del self.tasks[spec.id, task.index]
             self.free_cpus += spec.cpus
             self.free_gpus += spec.gpus
-            self.free_ram += spec.ram_gb
+            self.free_ram_gb += spec.ram_gb
--- a/src/tideusher/core/model/rentals.py
+++ b/src/tideusher/core/model/rentals.py
@@ -60,7 +60,7 @@
         self._machines = machines
         self._naming: dict[str, list[Rental]] = {}
 
-    def naming(self, machine: str) -> tuple[Rental, ...]:
+    def rentals_with(self, machine: str) -> tuple[Rental, ...]:
         """The rentals that name the machine, its owner first; empty: none does."""
         return tuple(self._naming.get(machine, ()))
 
@@ -83,7 +83,7 @@
             rental.returning.remove(machine)
         self._unlink(rental, machine)
 
-    def ask_return(self, machine: str) -> None:
+    def mark_return_requested(self, machine: str) -> None:
         """The machine's return is asked: every rental that names it says so."""
         for rental in self._naming.get(machine, ()):
             if machine not in rental.returning:
@@ -91,7 +91,7 @@
 
     def forget(self, machine: str) -> tuple[Rental, ...]:
         """The machine is gone: no rental names it any more; returns those that did."""
-        rentals = self.naming(machine)
+        rentals = self.rentals_with(machine)
         for rental in rentals:
             self.remove(rental, machine)
         return rentals
--- a/src/tideusher/core/model/transactions.py
+++ b/src/tideusher/core/model/transactions.py
@@ -134,11 +134,11 @@
         if to_page:
             plan.target = self._target(entry.member, value, home)
             plan.clears_own = entry.stamp > 0
-            guards = entry.also() if _places_anew(value, self._pages.stored(entry.member)) else []
+            guards = entry.extra_guards() if _places_anew(value, self._pages.stored(entry.member)) else []
         else:
             plan.writes_own = value is not None
             plan.clears_own = value is None and entry.stamp > 0
-            guards = entry.also()
+            guards = entry.extra_guards()
         plan.guards = [guard for guard in guards if guard.key not in self._guards]
         if plan.writes_own or plan.clears_own:
             plan.guards.append(Guard(entry.key, entry.stamp))
--- a/src/tideusher/core/model/write_queue.py
+++ b/src/tideusher/core/model/write_queue.py
@@ -16,7 +16,7 @@
 from contextlib import closing
 
 from tideusher.core.model.entries import Effect, Entry
-from tideusher.core.model.fair_queue import TurnQueue
+from tideusher.core.model.fair_queue import FairQueue
 from tideusher.core.model.pages import NULL, Pages
 from tideusher.core.model.transactions import GUARDS_A_CHANGE, Batch, Draft
 from tideusher.wire.state import Guard
@@ -33,12 +33,12 @@
         self._leader = Guard(leader_key, token)
         self._max_ops, self._fence = max_ops, fence
         self._pages = pages or Pages(lambda: 0, lambda key: None)
-        self._urgent = TurnQueue()
+        self._urgent = FairQueue()
         self._lazy: dict[str, Entry] = {}
         self._members: dict[str, Entry] = {}  # of what waits, that which may be in pages
         self._in_flight: Batch | None = None
 
-    def touch(self, entry: Entry, effect: Effect | None = None, urgent: bool = True) -> None:
+    def enqueue(self, entry: Entry, effect: Effect | None = None, urgent: bool = True) -> None:
         """The entry's value changed; `effect` runs once this change is in the state service."""
         entry.dirty = True
         queued = self._urgent.get(entry.key) or self._lazy.get(entry.key)
@@ -73,7 +73,7 @@
         """Is the entry's present value in the state service?"""
         return not entry.dirty and (self._in_flight is None or entry not in self._in_flight.entries)
 
-    def unwritten(self, entry: Entry) -> bool:
+    def never_written(self, entry: Entry) -> bool:
         """Is nothing under the entry's key in the state service, or on its way there?"""
         return not entry.stamp and (self._in_flight is None or entry not in self._in_flight.entries)
 
@@ -175,7 +175,7 @@
         for entry in batch.entries:
             entry.stamp = revision if entry.key in batch.own else 0
         if self._fence is not None and self._pages.fenced and not (self._pages.open or self._pages.any):
-            self.touch(self._fence, urgent=False)  # nothing is left that older versions do not read
+            self.enqueue(self._fence, urgent=False)  # nothing is left that older versions do not read
         for effects in batch.effects:
             for effect in effects:
                 effect()
@@ -194,7 +194,7 @@
         if self._fence is not None:
             self._fence.stamp = stamp_of(self._fence.key)
             if unknown:
-                self.touch(self._fence)
+                self.enqueue(self._fence)
         self._pages.reread([page for page, _ in batch.pages], stamp_of)
         if batch.fences is not None:
             self._pages.reread_fence(stamp_of)
--- a/src/tideusher/node.py
+++ b/src/tideusher/node.py
@@ -23,7 +23,7 @@
 from tideusher.core.decide.cancellations import TOLD, Cancellations
 from tideusher.core.decide.succession import Standing
 from tideusher.core.model import keys
-from tideusher.core.model.contacts import Own, Sightings
+from tideusher.core.model.contacts import LocalContacts, WorkerContacts
 from tideusher.core.model.records import JOB_CANCELLED
 from tideusher.metrics import Metrics
 from tideusher.web import Web
@@ -53,10 +53,10 @@
         self.election = Election(config, policy, self.store, self._clock, rng)
         self.cloud = Cloud(config, self._clock, self.metrics)
         self.leader = Leader(config, policy, self._clock, self.store, self.election, self.cloud, self.metrics)
-        self.own = Own(to_us(config.settings.workers.report_s))
+        self.own = LocalContacts(to_us(config.settings.workers.report_s))
         self.peers = Peers(config, self._clock, self._hello, self._answer_hello, self._told)
-        self.sightings = Sightings(self.own, self.peers.speaks)
-        self.leader.hear_sightings(self.sightings)
+        self.contacts = WorkerContacts(self.own, self.peers.speaks)
+        self.leader.hear_sightings(self.contacts)
         self.election.hear(self._standing, self.peers.standings, lambda token: self.leader.tell("tick"))
         self.store.hear_demands(self.peers.demands)
         #: What is on a machine longer than that after its cancellation broke the rule already.
@@ -119,10 +119,10 @@
     def _told(self, node: str, said: peer_wire.Hello | None) -> None:
         """Another controller spoke; None: its connection ended."""
         if said is None:
-            self.sightings.lost(node)
+            self.contacts.lost(node)
             return
         now_us = self._clock.now_us()
-        self.sightings.told(node, said.seen, now_us)
+        self.contacts.told(node, said.seen, now_us)
         for job, stamp in said.cancelled:
             if self.cancellations.learn(job, stamp, now_us):
                 self.log.info("%s tells that %s is cancelled", node, job)
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -561,9 +561,9 @@
             return True
         slots = Counter()
         for machine in cluster.machines.values():
-            there = machine.phase == UP and not machine.draining and machine.name in self.workers
+            there = machine.phase == UP and not machine.drain_reason and machine.name in self.workers
             if there and machine.allows(spec) and machine.fits(spec) and known.may_join(machine.zone):
-                slots[machine.zone] += slots_in(machine.free_cpus, machine.free_gpus, machine.free_ram, spec)
+                slots[machine.zone] += slots_in(machine.free_cpus, machine.free_gpus, machine.free_ram_gb, spec)
         return max(slots.values() if spec.one_zone else [sum(slots.values())], default=0) < count
 
     def _judge(self):
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -15,7 +15,7 @@
 from tideusher.core.lead import soft_state
 from tideusher.core.lead.standby import Standby
 from tideusher.core.model import keys
-from tideusher.core.model.contacts import Own, Sightings, Zones
+from tideusher.core.model.contacts import LocalContacts, WorkerContacts, ZoneContacts
 from tideusher.metrics import Metrics
 from tideusher.playground.standins import StateStandIn
 from tideusher.wire.peers import Soft
@@ -267,14 +267,14 @@
 @pytest.mark.parametrize(("still_s", "counts"), [(1, False), (5, True), (8, True), (30, True)])
 def test_a_controller_that_wakes_takes_nobody_for_silent_in_the_time_it_did_not_listen(still_s, counts):
     bed, election = Bed(), StillElection()
-    own = Own(SECOND_US)
+    own = LocalContacts(SECOND_US)
     own.heard("host-1", "a", "x", bed.clock.now_us())
     store = type("Store", (), {"mirror": {}, "lead": lambda self, leading: None})()
     leader = Leader(bed.cluster.config, Policy(), bed.clock, store, election, None, Metrics())
-    leader.hear_sightings(Sightings(own))
+    leader.hear_sightings(WorkerContacts(own))
     leader._standby = Standby(bed.config, Policy(), bed.clock.wall_us, lambda name: None, dict)
     leader._standby.begin(bed.clock.now_us())
-    zones = leader._standby.picture.zones
+    zones = leader._standby.cluster_state.zones
     zones.heard("a", bed.clock.now_us())
     for _ in range(3):
         bed.clock.pass_s(PASS_US / SECOND_US)
@@ -284,7 +284,7 @@
     now_us = bed.clock.now_us()
     assert bool(election.told) is counts and (still_s * SECOND_US > STILL_US) is counts
     if counts:
-        assert zones.since_us("a", now_us) == now_us and own.heard_now(now_us) == ["a"]
+        assert zones.since_us("a", now_us) == now_us and own.reporting_zones(now_us) == ["a"]
         assert own.news(0, now_us)[0][0].silent_ms == 0
 
 
@@ -375,13 +375,13 @@
     region._step()
     assert not region.calls and not region.cluster.to_return
     region.run(6)
-    assert len(region.cluster.machines) == 24 and not [m for m in region.cluster.machines.values() if m.draining]
+    assert len(region.cluster.machines) == 24 and not [m for m in region.cluster.machines.values() if m.drain_reason]
     region.turn(region.of("a")[:5], HANGS)  # and who falls silent later is still looked for
     region.run(12)
     assert region.most_calls
 
 
 def test_zones_that_were_never_heard_stay_so():
-    zones = Zones(SECOND_US)
+    zones = ZoneContacts(SECOND_US)
     zones.stood_still(9 * SECOND_US)
     assert zones.since_us("a", 10 * SECOND_US) == 10 * SECOND_US
--- a/tests/test_compound_faults.py
+++ b/tests/test_compound_faults.py
@@ -264,14 +264,17 @@
 
     for _ in range(9):
         clock.pass_s(1.0)
-        machine.reported_us = clock.now_us()  # calls reach it
+        machine.last_contact_us = clock.now_us()  # calls reach it
         assert not due()
     clock.pass_s(2.0)
-    machine.reported_us = clock.now_us()
+    machine.last_contact_us = clock.now_us()
     assert len(due()) == 1 and "calls reach it" in due()[0]
     heard["us"] = clock.now_us()  # by a controller whose links to us are cut or slow
     assert not due()
-    heard["us"], machine.reported_us = 0, machine.own_us  # nobody reaches it: that is for silence to judge
+    heard["us"], machine.last_contact_us = (
+        0,
+        machine.last_report_us,
+    )  # nobody reaches it: that is for silence to judge
     assert not due()
 
 
@@ -350,7 +353,7 @@
     election.leader, election.token = lambda: ("n9", 7), None
     leader = Leader(config, Policy(), clock, store, election, part(), bed.cluster.metrics)
     leader._standby = part()
-    leader._standby.picture = bed.cluster.picture
+    leader._standby.cluster_state = bed.cluster.cluster_state
     leader.hear_readers(lambda node: False)
     seen = part()
     seen.last = lambda name, now_us: (now_us, f"{name}:1")
@@ -598,7 +601,9 @@
     zones, names = {"b": 3, "a": 2}, []
     for zone, count in zones.items():
         names += [(f"{zone}{number}", zone) for number in range(count)]
-    machines = [Machine(name, "m4", zone, False, "r", 16.0, 4.0, 64.0, 0, phase=UP, own_us=1) for name, zone in names]
+    machines = [
+        Machine(name, "m4", zone, False, "r", 16.0, 4.0, 64.0, 0, phase=UP, last_report_us=1) for name, zone in names
+    ]
     waits = Job(job("gang", 2, cpus=14.0, one_zone=True), 1, 0, 0)
     room = Gathering()
     for heard, kept in ((lambda m: True, {"a0", "a1"}), (lambda m: m.name not in ("a0", "b1"), {"b0", "b2"})):
--- a/tests/test_embed.py
+++ b/tests/test_embed.py
@@ -143,7 +143,7 @@
             pass
     assert sorted(program.running) == ["req-1/0", "req-2/0"]
     assert {task.attempt for task in program.running.values()} == {3}
-    assert not any(machine.draining for machine in program.instance._engine.cluster.machines.values())
+    assert not any(machine.drain_reason for machine in program.instance._engine.cluster.machines.values())
     program.instance.close()
 
 
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -57,11 +57,11 @@
     took_s = region.run(30, lambda: len(region.gone) == 1 + len(dying))
     assert took_s <= 1.5 * alone_s
     assert set(region.gone.values()) == {DEAD}
-    (fall,) = falls(region.cluster)
-    assert (fall["machines"], fall["zone"]) == (len(dying), "a")
+    (mass_failure,) = falls(region.cluster)
+    assert (mass_failure["machines"], mass_failure["zone"]) == (len(dying), "a")
     counts = region.cluster.metrics.counts  # one fall, in however many looks its machines were found
     assert (counts["falls", "a"], counts["fall_machines", "a"]) == (1, len(dying))
-    assert "others of its zone are heard" in fall["evidence"]
+    assert "others of its zone are heard" in mass_failure["evidence"]
 
 
 def test_a_whole_zone_dies_and_its_controllers_say_so(region):
@@ -219,9 +219,9 @@
     region.run(20)
     region.turn(region.of("b")[:10], DEAD)
     region.run(90)
-    assert [fall["zone"] for fall in falls(region.cluster)] == ["b", "a"]
+    assert [mass_failure["zone"] for mass_failure in falls(region.cluster)] == ["b", "a"]
     assert all(region.up_of(spec) == 4 for spec in specs)
-    assert all(fall["whole_after_s"] for fall in falls(region.cluster))
+    assert all(mass_failure["whole_after_s"] for mass_failure in falls(region.cluster))
 
 
 def test_machines_that_die_while_nobody_leads_and_between_probe_and_return(region):
@@ -263,7 +263,7 @@
     region.turn(away, UP)
     region.run(60)  # a return answered 503 for a minute: nothing is freed by time
     held = [region.cluster.machines[name] for name in away]
-    assert sum(len(machine.tasks) for machine in held) > 0 and all(m.draining for m in held)
+    assert sum(len(machine.tasks) for machine in held) > 0 and all(m.drain_reason for m in held)
     attempts = {(t.job, t.index): t.attempt for name in away for t in region.workers[name].on_machine()}
     region.cloud_answers = True
     region.run(40)
@@ -450,17 +450,26 @@
     assert any(f"(fall {name})" in stop["reason"] for stop in told["stops"])
     region.run(60)
     region.next_leader()
-    (fall,) = falls(region.cluster)
-    assert fall["fall"] == name and fall["tasks_lost"] == 8 and fall["jobs"] == fall["jobs_whole"] == 1
-    assert 0 < fall["known_after_s"] < fall["whole_after_s"] == fall["whole_again_after_s"][spec.id]
-    assert not fall["still_waiting"]
+    (mass_failure,) = falls(region.cluster)
+    assert (
+        mass_failure["fall"] == name
+        and mass_failure["tasks_lost"] == 8
+        and mass_failure["jobs"] == mass_failure["jobs_whole"] == 1
+    )
+    assert (
+        0
+        < mass_failure["known_after_s"]
+        < mass_failure["whole_after_s"]
+        == mass_failure["whole_again_after_s"][spec.id]
+    )
+    assert not mass_failure["still_waiting"]
 
 
 def test_the_largest_record_of_a_fall_stays_within_the_smallest_value_limit():
     jobs = {f"req-{10**18 + n}": 100_000 for n in range(400)}
     at_us = 1_800_000_000_000_000
-    fall = Fall("9" * 12 + "-99", "z" * 30, at_us, at_us, "w" * 200, 600, 40_000_000, jobs)
-    fall.back = dict.fromkeys(jobs, at_us)
-    fall.whole, fall.whole_us = 400, at_us
-    assert len(msgspec.json.encode(fall.value())) < 4096
-    assert read_fall(fall.name, fall.value()).back.keys() == set(list(jobs)[:40])
+    mass_failure = Fall("9" * 12 + "-99", "z" * 30, at_us, at_us, "w" * 200, 600, 40_000_000, jobs)
+    mass_failure.back = dict.fromkeys(jobs, at_us)
+    mass_failure.whole, mass_failure.whole_us = 400, at_us
+    assert len(msgspec.json.encode(mass_failure.value())) < 4096
+    assert read_fall(mass_failure.name, mass_failure.value()).back.keys() == set(list(jobs)[:40])
--- a/tests/test_leader_faults.py
+++ b/tests/test_leader_faults.py
@@ -194,7 +194,7 @@
     state = StateStandIn()
     queue, value = fenced(state), [{"v": 1}]
     entry = Entry("t/m/a", lambda: value[0], 0)
-    queue.touch(entry)
+    queue.enqueue(entry)
     lost = queue.next_batch(8)
     queue.not_saved(state.stamp_of)
     return state, queue, entry, value, lost
@@ -205,7 +205,7 @@
     state, queue, entry, value, lost = lost_creation()
     commit(queue, state)
     value[0] = None
-    queue.touch(entry)
+    queue.enqueue(entry)
     commit(queue, state)
     assert "t/m/a" not in state.items
     assert state.txn(lost.guards, lost.writes) is None and "t/m/a" not in state.items
@@ -223,7 +223,7 @@
     state = StateStandIn()
     queue, effects = fenced(state), []
     entry = Entry("t/m/a", lambda: {"v": 1}, 0)
-    queue.touch(entry, lambda: effects.append("told"))
+    queue.enqueue(entry, lambda: effects.append("told"))
     lost = queue.next_batch(8)
     queue.not_saved(state.stamp_of)
     assert state.txn(lost.guards, lost.writes) is not None
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -12,7 +12,7 @@
 from tideusher.core.decide.order import TASK_US, urgency_us
 from tideusher.core.lead import explain
 from tideusher.core.model import keys
-from tideusher.core.model.contacts import Own
+from tideusher.core.model.contacts import LocalContacts
 from tideusher.core.model.records import RETURNING, Job, Machine
 from tideusher.core.model.rentals import Rental
 from tideusher.core.model.write_queue import Entry, WriteQueue
@@ -28,10 +28,10 @@
     """391 records of a guest's array once went before each start of a gang: eleven writes a second, 35 s."""
     queue = WriteQueue("lead", 7, 4)
     for number in range(40):
-        queue.touch(entry(f"t/r/huge/{number}", "huge"))
+        queue.enqueue(entry(f"t/r/huge/{number}", "huge"))
     for name in ("gang", "web"):
-        queue.touch(entry(f"t/r/{name}/0", name))
-    queue.touch(entry("t/m/7-1"))
+        queue.enqueue(entry(f"t/r/{name}/0", name))
+    queue.enqueue(entry("t/m/7-1"))
     first = [one.key for one in queue.next_batch(4).entries]
     assert first == ["t/m/7-1", "t/r/huge/0", "t/r/gang/0", "t/r/web/0"]
     queue.saved(9)
@@ -42,9 +42,9 @@
     """A job's record that waits for its turn may get a place on a machine rented since: the machine goes first."""
     queue = WriteQueue("lead", 7, 1)
     place, machine = entry("t/r/old/0", "old"), entry("t/m/7-9")
-    queue.touch(place)
-    queue.touch(machine)  # the assignment touches both, the machine's record first
-    queue.touch(place)
+    queue.enqueue(place)
+    queue.enqueue(machine)  # the assignment touches both, the machine's record first
+    queue.enqueue(place)
     assert queue.next_batch(1).entries == [machine]
 
 
@@ -98,8 +98,10 @@
             serials[host] += 1
             bed.report(host, serials[host])
     assert task_failures.at_fault(bad) and task_failures.at_fault(worse) and bad.pending == 5 - len(bad.live)
-    why = {m.draining for m in bed.cluster.machines.values() if m.phase == RETURNING}
-    assert all("idle" in reason for reason in why) and not any(m.suspect_us for m in bed.cluster.machines.values())
+    why = {m.drain_reason for m in bed.cluster.machines.values() if m.phase == RETURNING}
+    assert all("idle" in reason for reason in why) and not any(
+        m.suspect_since_us for m in bed.cluster.machines.values()
+    )
     assert max(pauses) <= task_failures.LAST_PAUSE_US and max(pauses) > 10 * SECOND_US
     told = explain.explain_job(bed.cluster, bad.spec.id, bed.clock.now_us())["reasons"]
     assert any("failed on" in reason and "tried" in reason or "next try" in reason for reason in told), told
@@ -112,27 +114,29 @@
         bed.report(host, 1)
     bad = bed.submit(job("batch", 1, id="req-810001"))
     for name in ("host-1", "host-3", "host-4"):
-        bad.failed_on(name)
+        bad.record_failure_on(name)
     machine = bed.cluster.machines["host-1"]
-    machine.error_jobs = {bad.spec.id: 5, "req-999999": 3}  # one at fault, one that is cancelled: no proof
+    machine.failures_by_job = {bad.spec.id: 5, "req-999999": 3}  # one at fault, one that is cancelled: no proof
     assert task_failures.at_fault(bad) and not task_failures.judge(machine, bed.cluster.jobs, 0)
     good, other = (bed.submit(job("batch", 4, id=name)) for name in ("req-810002", "req-810003"))
-    machine.error_jobs[good.spec.id] = 1
+    machine.failures_by_job[good.spec.id] = 1
     assert not task_failures.judge(machine, bed.cluster.jobs, 0)
-    machine.error_jobs[other.spec.id] = 1
+    machine.failures_by_job[other.spec.id] = 1
     assert task_failures.judge(machine, bed.cluster.jobs, 0) == task_failures.SUSPECT
     now_us = bed.clock.now_us()
     bed.cluster.look_at_failures(machine, now_us)
     bed.scheduler.schedule(now_us)
-    assert machine.suspect_us and not machine.tasks and bed.cluster.machines["host-2"].tasks  # others take the work
+    assert (
+        machine.suspect_since_us and not machine.tasks and bed.cluster.machines["host-2"].tasks
+    )  # others take the work
     assert task_failures.judge(machine, bed.cluster.jobs, now_us + task_failures.SURE_US) == task_failures.FAULTY
     # One that has succeeded elsewhere is honest for good, on however many machines it fails.
-    del machine.error_jobs[other.spec.id]
+    del machine.failures_by_job[other.spec.id]
     for name in ("host-5", "host-6", "host-7"):
-        good.failed_on(name)
+        good.record_failure_on(name)
     assert not task_failures.judge(machine, bed.cluster.jobs, 0)
     good.mark_done(0)
-    machine.error_jobs[good.spec.id] = 2
+    machine.failures_by_job[good.spec.id] = 2
     assert (
         not task_failures.at_fault(good) and task_failures.judge(machine, bed.cluster.jobs, 0) == task_failures.FAULTY
     )
@@ -144,13 +148,13 @@
     other = bed.place(job("batch", 4, id="req-820001", team="blue", gpus=1.0), "host-1")
     bad = bed.submit(job("gang", 1, id="req-820002", gpus=4.0, cpus=16.0, team="red", priority="urgent"))
     for name in ("host-7", "host-8", "host-9"):
-        bad.failed_on(name)
+        bad.record_failure_on(name)
     before = len(bed.cluster.rentals)
     bed.clock.pass_s(30)
     bed.report("host-1", 9)
     bed.scheduler.schedule(bed.clock.now_us())
     assert len(bed.cluster.rentals) == before and all(task.halt_grace_s is None for task in other.live.values())
-    assert "failed on 3 machines" in bad.waits_for
+    assert "failed on 3 machines" in bad.waiting_reason
 
 
 KIND = msgspec.structs.replace(TYPE, boot_s=30.0)
@@ -202,7 +206,7 @@
         young = Machine(f"host-95{number}", TYPE.name, "a", False, "r", 16, 4, 64, clock.now_us() + SECOND_US)
         cluster.health.boots.came_up(young, clock.now_us() + 21 * SECOND_US)
     for machine in ("host-000", "host-001"):
-        cluster.machines[machine].draining = "a test takes it"
+        cluster.machines[machine].drain_reason = "a test takes it"
     region.submit(wide)
     region.scheduler.schedule(clock.now_us())
     assert not cluster.renting.asked()  # it boots, and will hold the gang
@@ -324,7 +328,7 @@
 
 
 def test_a_worker_heard_while_the_leader_was_late_is_not_heard_in_the_future():
-    own = Own(SECOND_US)
+    own = LocalContacts(SECOND_US)
     own.heard("host-1", "a", "x", 9 * SECOND_US)
     own.stood_still(5 * SECOND_US, 10 * SECOND_US)
     assert own.last("host-1") == (10 * SECOND_US, "x")
--- a/tests/test_record_orders.py
+++ b/tests/test_record_orders.py
@@ -25,7 +25,7 @@
 from standins import Bed, job, make_config
 from tideusher.config import Policy
 from tideusher.core.model import keys
-from tideusher.core.model.cluster_state import Picture
+from tideusher.core.model.cluster_state import ClusterState
 from tideusher.wire.state import Delete, Put
 
 HOSTS = ("host-1", "host-2")
@@ -121,18 +121,18 @@
         key = keys.job_key(spec.id)
         return [(key, self.state.value_of(key))]
 
-    def picture(self):
+    def cluster_state(self):
         """A picture built from what is on record."""
         state, clock = self.state, self.bed.clock
-        picture = Picture(make_config(), Policy(), clock.now_us(), clock.wall_us, state.record_of)
-        picture.build(state.read_all(), clock.now_us())
-        return picture
+        cluster_state = ClusterState(make_config(), Policy(), clock.now_us(), clock.wall_us, state.record_of)
+        cluster_state.build(state.read_all(), clock.now_us())
+        return cluster_state
 
 
 def agrees(records, follower):
     """The same as a rebuild, and no record that either does not say."""
-    rebuilt = records.picture()
-    assert follower.outline() == rebuilt.outline()
+    rebuilt = records.cluster_state()
+    assert follower.comparable() == rebuilt.comparable()
     for key, (value, _) in records.state.read_all().items():
         assert follower.says(key, value), key
         assert rebuilt.says(key, value), key
@@ -156,7 +156,7 @@
 def test_a_standby_says_what_a_rebuild_says_after_any_order_of_records(steps, seed):
     """`seed` draws the order of the changes of one transaction, and which are followed only with the next."""
     records, rng = Records(), random.Random(seed)
-    follower, waiting = records.picture(), []
+    follower, waiting = records.cluster_state(), []
     for step in steps:
         changes = [(key, value, records.state.tide) for key, value in records.step(*step)]
         rng.shuffle(changes)
@@ -174,7 +174,7 @@
 def test_after_a_takeover_the_task_is_neither_forgotten_nor_run_twice(cancelled, followed):
     """Its machine went and was adopted by a late copy of a report, before its record was written."""
     records = Records()
-    follower, now_us = records.picture(), records.bed.clock.now_us()
+    follower, now_us = records.cluster_state(), records.bed.clock.now_us()
     for step in [NAMED, PAGE, *[("cancelled", 0)] * cancelled, GONE, ADOPTED]:
         for key, value in records.step(*step):
             follower.apply(key, value, records.state.tide, now_us)
@@ -183,14 +183,14 @@
     if followed:
         cluster = type(bed.cluster)(
             bed.config, Policy(), bed.cluster.token, now_us, bed.clock.wall_us,
-            record_of=bed.state.record_of, picture=follower, value_of=bed.state.value_of,
+            record_of=bed.state.record_of, cluster_state=follower, value_of=bed.state.value_of,
         )  # fmt: skip
         cluster.begin(now_us)
         bed.cluster = cluster
     cluster = bed.cluster
     placed = cluster.jobs[spec.id]
     assert {index: task.machine.name for index, task in placed.live.items()} == {0: "host-1"}
-    assert placed.pick(2) == ([1] if not cancelled else placed.pick(2))
+    assert placed.next_pending(2) == ([1] if not cancelled else placed.next_pending(2))
     bed.commit()
     assert [machine.name for machine in cluster.to_return] == ["host-1"]
     cluster.returned(["host-1"], now_us)
@@ -200,4 +200,4 @@
     if cancelled:
         assert spec.id not in (bed.state.value_of(keys.page_key(0)) or {})
     else:
-        assert placed.pick(2) == [0, 1]
+        assert placed.next_pending(2) == [0, 1]
--- a/tests/test_run_time_invariants.py
+++ b/tests/test_run_time_invariants.py
@@ -29,9 +29,9 @@
 # The decision itself
 
 
-def machine(name="h", zone="a", spot=False, phase=UP, draining=""):
+def machine(name="h", zone="a", spot=False, phase=UP, drain_reason=""):
     one = Machine(name, "m4", zone, spot, "r", 16.0, 4.0, 64.0, 0, phase=phase)
-    one.draining = draining
+    one.drain_reason = drain_reason
     return one
 
 
@@ -117,7 +117,7 @@
 
 def test_a_task_whose_machine_is_taken_back_before_it_is_told_goes_elsewhere(bed):
     placed = bed.place(job("service", 1, estimate_s=0.0), "host-1")
-    bed.cluster.machines["host-1"].draining = "the cloud takes it back"
+    bed.cluster.machines["host-1"].drain_reason = "the cloud takes it back"
     assert not told_to_run(bed.report("host-1", 2))
     assert not placed.live and not broken(bed.cluster)
     assert bed.cluster.metrics.counts["starts_withheld", "draining"] == 1
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -93,7 +93,7 @@
         for machine in machines:
             if machine in chosen or not machine.allows(request.spec):
                 continue
-            room, cost = [machine.free_cpus, machine.free_gpus, machine.free_ram], []
+            room, cost = [machine.free_cpus, machine.free_gpus, machine.free_ram_gb], []
             tasks = sorted(machine.tasks.values(), key=lambda t: (-t.job.spec.gpus, -t.job.spec.cpus, t.name))
             for task in tasks:
                 if slots_in(*room, request.spec):
@@ -229,7 +229,7 @@
             return super().values()
 
     machines = Counted()
-    cluster.machines = cluster.picture.machines = cluster.health._machines = cluster.falls._machines = machines
+    cluster.machines = cluster.cluster_state.machines = cluster.health._machines = cluster.falls._machines = machines
     for serial in (1, 2):
         for number in range(50):
             bed.report(f"host-{number}", serial)
@@ -535,7 +535,7 @@
     machines, _ = fleet_of(rng, rng.choice([3, 20, 60]))
     for one in machines:
         one.images["img-1"] = 2.0
-        one.pace = rng.choice([1.0, 1.0, 2.0])
+        one.relative_runtime = rng.choice([1.0, 1.0, 2.0])
     parts = rng.choice([1, 2, 5])
     room, shelf = Room(machines, parts), Shelf(machines, parts)
     plain = 0
--- a/tests/test_shared_records.py
+++ b/tests/test_shared_records.py
@@ -18,9 +18,9 @@
 from tideusher.core.lead.scheduler import Scheduler
 from tideusher.core.lead.standby import PIECE
 from tideusher.core.model import keys, transactions
-from tideusher.core.model.cluster_state import Picture
+from tideusher.core.model.cluster_state import ClusterState
 from tideusher.core.model.entries import Entry
-from tideusher.core.model.fair_queue import TurnQueue
+from tideusher.core.model.fair_queue import FairQueue
 from tideusher.core.model.pages import NULL, Pages, member_size
 from tideusher.core.model.placements import Placements
 from tideusher.core.model.records import JOB_CANCELLED, JOB_DONE, UP, Machine, chunk_value
@@ -46,10 +46,15 @@
     bed.cluster.rentals["r"] = Rental("r", TYPE.name, "a", False, 50, True, names)
     for name in names:
         one = Machine(name, TYPE.name, "a", False, "r", TYPE.cpus, TYPE.gpus, TYPE.ram_gb, 0)
-        one.phase, one.reported_us, one.own_us, one.session, one.serial = UP, *[bed.clock.now_us()] * 2, 1, 1
+        one.phase, one.last_contact_us, one.last_report_us, one.session, one.serial = (
+            UP,
+            *[bed.clock.now_us()] * 2,
+            1,
+            1,
+        )
         one.idle_since_us = bed.clock.now_us()
         bed.cluster.machines[name] = one
-    bed.cluster.write_queue.touch(bed.cluster.renting.entry(bed.cluster.rentals["r"]))
+    bed.cluster.write_queue.enqueue(bed.cluster.renting.entry(bed.cluster.rentals["r"]))
     bed.commit()
 
 
@@ -153,7 +158,7 @@
     fence = Entry(keys.FENCE, lambda: NULL, 0)
     queue = WriteQueue(keys.LEADER, state.elect("n0"), 12, fence, pages)
     pages.open = True
-    queue.touch(fence)
+    queue.enqueue(fence)
     done, entries = set(), []
     for number in range(10_000):
         name = f"req-{number:06d}"
@@ -173,7 +178,7 @@
         return looks
 
     for entry in entries:
-        queue.touch(entry)
+        queue.enqueue(entry)
     write_all()
     stored, size = len(pages_of(state)), sum(len(msgspec.json.encode(one)) for one in pages_of(state).values())
     assert stored <= 1.3 * size / 8192 + 1
@@ -181,7 +186,7 @@
     told = []
     for entry in entries:
         done.add(entry.member)
-        queue.touch(entry, lambda name=entry.member: told.append(name))
+        queue.enqueue(entry, lambda name=entry.member: told.append(name))
     assert write_all() == 10_000 and sorted(told) == sorted(done)
     assert counts["p"] <= stored + 1
 
@@ -256,9 +261,9 @@
     for step in range(60):
         if step % 15 == 0:
             pages.open = rng.random() < 0.7
-            queue.touch(fence)
-            for name in list(pages.homes):
-                queue.touch(entries[name], urgent=False)
+            queue.enqueue(fence)
+            for name in list(pages.pages_by_job):
+                queue.enqueue(entries[name], urgent=False)
         if rng.random() < 0.1:
             limit[0] = rng.choice([1024, 2048, 4096])
         for _ in range(rng.randrange(12)):
@@ -266,7 +271,7 @@
             said[name] = None if rng.random() < 0.2 else {"n": step, "x": "y" * rng.randrange(300)}
             entry = Entry(keys.chunk_key(name, 0), lambda name=name: said[name], 0, owner=name, member=name)
             entry = entries.setdefault(name, entry)
-            queue.touch(entry, urgent=rng.random() < 0.7)
+            queue.enqueue(entry, urgent=rng.random() < 0.7)
         for _ in range(rng.randrange(4)):
             batch = queue.next_batch(ops)
             if batch is None:
@@ -427,7 +432,7 @@
     if applied:
         assert bed.state.txn(last.guards, last.writes) is not None
     new = bed.elect()
-    assert 0 < len([name for name in new.pages.homes]) < len(placed)
+    assert 0 < len([name for name in new.pages.pages_by_job]) < len(placed)
     assert on_record(bed.state) == before == in_memory(new)
     assert bed.state.txn(last.guards, last.writes) is None
     place(bed)
@@ -496,17 +501,17 @@
     (one,) = small(bed)
     place(bed)
     bed.commit()
-    picture = Picture(bed.config, Policy(), bed.clock.now_us(), bed.clock.wall_us)
+    cluster_state = ClusterState(bed.config, Policy(), bed.clock.now_us(), bed.clock.wall_us)
     later = keys.job_key(one.spec.id)
     for key, (value, stamp) in bed.state.read_all().items():
         if key != later:
-            picture.apply(key, value, stamp, bed.clock.now_us())
-    assert one.spec.id not in picture.jobs
-    picture.apply(later, *bed.state.read_all()[later], bed.clock.now_us())
-    assert {i: task.machine.name for i, task in picture.jobs[one.spec.id].live.items()} == {
+            cluster_state.apply(key, value, stamp, bed.clock.now_us())
+    assert one.spec.id not in cluster_state.jobs
+    cluster_state.apply(later, *bed.state.read_all()[later], bed.clock.now_us())
+    assert {i: task.machine.name for i, task in cluster_state.jobs[one.spec.id].live.items()} == {
         0: one.live[0].machine.name
     }
-    assert picture.outline() == rebuilt(bed.state, bed.clock, bed.config).outline()
+    assert cluster_state.comparable() == rebuilt(bed.state, bed.clock, bed.config).comparable()
 
 
 @pytest.mark.parametrize("own_first", [True, False])
@@ -515,13 +520,13 @@
     (one,) = small(bed)
     place(bed)
     bed.commit()
-    picture = Picture(bed.config, Policy(), bed.clock.now_us(), bed.clock.wall_us)
+    cluster_state = ClusterState(bed.config, Policy(), bed.clock.now_us(), bed.clock.wall_us)
     names = [keys.chunk_key(one.spec.id, 0), keys.job_key(one.spec.id)]
     others = [key for key in bed.state.items if key not in names]
     for key in others + (names if own_first else names[::-1]):
-        picture.apply(key, *bed.state.read_all()[key], bed.clock.now_us())
-    assert list(picture.jobs[one.spec.id].live) == [0]
-    assert picture.outline() == rebuilt(bed.state, bed.clock, bed.config).outline()
+        cluster_state.apply(key, *bed.state.read_all()[key], bed.clock.now_us())
+    assert list(cluster_state.jobs[one.spec.id].live) == [0]
+    assert cluster_state.comparable() == rebuilt(bed.state, bed.clock, bed.config).comparable()
 
 
 @pytest.mark.parametrize("order", [(0, 1, 2), (0, 2, 1), (1, 0, 2), (1, 2, 0), (2, 0, 1), (2, 1, 0)])
@@ -538,7 +543,7 @@
     for number in order:
         steps[number]()
         assert placements.first("req-1") == record
-    assert placements.homes() == {"req-1": "t/p/1", "req-2": "t/p/0"}
+    assert placements.pages_by_job() == {"req-1": "t/p/1", "req-2": "t/p/0"}
     placements.page_changed("t/p/0", {"req-1": {"n": 0}, "req-2": {}}, 9)  # an older page, read late
     assert placements.first("req-1") == record
 
@@ -566,7 +571,7 @@
     pieces = 1
     while node.standby.piece(bed.clock.now_us()):
         pieces += 1
-    assert pieces >= (300 + 300) / 2 / PIECE and len(node.standby.picture.jobs) == len(placed)
+    assert pieces >= (300 + 300) / 2 / PIECE and len(node.standby.cluster_state.jobs) == len(placed)
     assert not any(node.standby.audit(bed.clock.now_us()) for _ in range(10))
 
 
@@ -597,8 +602,8 @@
     stored = on_record(bed.state)
     old = old_leader(bed)
     for name in old.machines:
-        old.machines[name].phase, old.machines[name].own_us = UP, bed.clock.now_us()
-        old.machines[name].reported_us = bed.clock.now_us()
+        old.machines[name].phase, old.machines[name].last_report_us = UP, bed.clock.now_us()
+        old.machines[name].last_contact_us = bed.clock.now_us()
     Scheduler(old, bed.clock.now_us()).schedule(bed.clock.now_us())
     assert any(old.jobs[one.spec.id].live for one in placed)  # it takes them for jobs that never began
     for _ in range(3):
@@ -617,7 +622,7 @@
     bed.state.items[keys.FENCE] = ({"by": 1}, bed.state.stamp_of(keys.FENCE))
     old = old_leader(bed)
     for machine in old.machines.values():
-        machine.phase, machine.own_us, machine.reported_us = UP, bed.clock.now_us(), bed.clock.now_us()
+        machine.phase, machine.last_report_us, machine.last_contact_us = UP, bed.clock.now_us(), bed.clock.now_us()
     Scheduler(old, bed.clock.now_us()).schedule(bed.clock.now_us())
     while (batch := old.write_queue.next_batch(8)) is not None:
         old.write_queue.saved(bed.state.txn(batch.guards, batch.writes))
@@ -673,7 +678,7 @@
     for harness in storm(seed):
         follower = follower or Follower(harness.state, harness.clock, harness.config)
         follower.catch_up()
-    assert follower.picture.outline() == rebuilt(harness.state, harness.clock, harness.config).outline()
+    assert follower.cluster_state.comparable() == rebuilt(harness.state, harness.clock, harness.config).comparable()
 
 
 def broken(seeds):
@@ -759,7 +764,7 @@
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(seed=st.integers(0, 10_000))
 def test_turns_are_taken_as_by_sorting_all_that_waits(seed):
-    rng, queue, plain = random.Random(seed), TurnQueue(), {}
+    rng, queue, plain = random.Random(seed), FairQueue(), {}
 
     def in_turn():
         turns, ranked = Counter(), []
@@ -791,7 +796,7 @@
 
 
 def test_to_take_the_next_ones_looks_at_few_of_those_that_wait():
-    queue = TurnQueue()
+    queue = FairQueue()
     for number in range(5000):
         queue.add(Entry(f"k{number}", lambda: 1, 0, owner=f"req-{number}"))
     before = len(queue._heads)
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -15,7 +15,7 @@
 from tideusher.core.lead.renting import Renting
 from tideusher.core.lead.standby import Standby
 from tideusher.core.model import keys
-from tideusher.core.model.cluster_state import Picture
+from tideusher.core.model.cluster_state import ClusterState
 from tideusher.core.model.ledger import Ledger
 from tideusher.metrics import Metrics
 from tideusher.playground.standins import TYPE, StateStandIn
@@ -29,7 +29,7 @@
     def __init__(self, state, clock, config=None):
         self.state, self.clock, self.seen = state, clock, {}
         self.config = config or make_config()
-        self.picture = Picture(self.config, Policy(), clock.now_us(), clock.wall_us, state.record_of)
+        self.cluster_state = ClusterState(self.config, Policy(), clock.now_us(), clock.wall_us, state.record_of)
 
     def catch_up(self, rng=None, part=1.0):
         """Apply what changed, oldest first; with a part below 1 some of it is left for later."""
@@ -37,7 +37,7 @@
         news = [(stamp, key, value) for key, (value, stamp) in items.items() if self.seen.get(key) != stamp]
         news += [(self.state.tide, key, None) for key in self.seen if key not in items]
         for stamp, key, value in sorted(news, key=lambda n: n[0])[: max(1, int(len(news) * part))]:
-            self.picture.apply(key, value, stamp, self.clock.now_us())
+            self.cluster_state.apply(key, value, stamp, self.clock.now_us())
             if value is None:
                 self.seen.pop(key)
             else:
@@ -45,9 +45,9 @@
 
 
 def rebuilt(state, clock, config=None):
-    picture = Picture(config or make_config(), Policy(), clock.now_us(), clock.wall_us, state.record_of)
-    picture.build(state.items, clock.now_us())
-    return picture
+    cluster_state = ClusterState(config or make_config(), Policy(), clock.now_us(), clock.wall_us, state.record_of)
+    cluster_state.build(state.items, clock.now_us())
+    return cluster_state
 
 
 def play(seed, steps=70, shared=False):
@@ -83,8 +83,8 @@
         follower.catch_up(rng, part if step % 10 else 1.0)
     follower.catch_up()
     plain = rebuilt(harness.state, harness.clock, harness.config)
-    assert follower.picture.outline() == plain.outline()
-    assert all(follower.picture.says(key, value) for key, (value, _) in harness.state.read_all().items())
+    assert follower.cluster_state.comparable() == plain.comparable()
+    assert all(follower.cluster_state.says(key, value) for key, (value, _) in harness.state.read_all().items())
 
 
 @pytest.mark.parametrize("forgotten", ["_vanish", "_ends", "_unname", "_note"])
@@ -93,11 +93,11 @@
     harness, follower = None, None
     for harness in play(5):
         follower = follower or Follower(harness.state, harness.clock, harness.config)
-        monkeypatch.setattr(follower.picture, forgotten, lambda *a, **k: None)
+        monkeypatch.setattr(follower.cluster_state, forgotten, lambda *a, **k: None)
         follower.catch_up()
     plain = rebuilt(harness.state, harness.clock, harness.config)
-    assert follower.picture.outline() != plain.outline()
-    wrong = [key for key, (value, _) in harness.state.items.items() if not follower.picture.says(key, value)]
+    assert follower.cluster_state.comparable() != plain.comparable()
+    wrong = [key for key, (value, _) in harness.state.items.items() if not follower.cluster_state.says(key, value)]
     assert wrong or forgotten in ("_note", "_unname")  # there no record is left that could say it
 
 
@@ -150,7 +150,14 @@
         while (caught := self.standby.catch_up(now)) is None:
             pieces += 1
         engine = Engine(
-            self.config, Policy(), token, now, self.clock.wall_us, Metrics(), self.record_of, picture=caught.picture
+            self.config,
+            Policy(),
+            token,
+            now,
+            self.clock.wall_us,
+            Metrics(),
+            self.record_of,
+            cluster_state=caught.cluster_state,
         )
         return engine, caught, pieces
 
@@ -193,15 +200,15 @@
     now = harness.clock.now_us()
     node.follow()
     assert node.standby.audit(now) == []
-    picture = node.standby._picture
-    task = next(task for job in picture.jobs.values() for task in job.live.values())
-    picture.unplace(task, now)  # planted: a place that was lost on the way
+    cluster_state = node.standby._picture
+    task = next(task for job in cluster_state.jobs.values() for task in job.live.values())
+    cluster_state.unplace(task, now)  # planted: a place that was lost on the way
     for _ in range(20):
         if wrong := node.standby.audit(now):
             break
     assert wrong == [keys.chunk_key(task.job.spec.id, 0)] and node.standby.rebuilds == 1
     node.follow()
-    assert node.standby._picture.outline() == rebuilt(harness.state, harness.clock).outline()
+    assert node.standby._picture.comparable() == rebuilt(harness.state, harness.clock).comparable()
 
 
 def followed(harness):
@@ -252,7 +259,7 @@
     node = Node(harness.state, harness.clock)
     node.read()
     node.follow()
-    node.standby.picture.jobs[spec.id].chunks[0].done = 0  # planted
+    node.standby.cluster_state.jobs[spec.id].chunks[0].done = 0  # planted
     with caplog.at_level(logging.ERROR):
         assert node.standby.audit(harness.clock.now_us()) == [keys.page_key(0)]
     assert f"t/p/0 ({spec.id} {{'n': 1, 'd': '1'}})" in caplog.text
@@ -412,7 +419,7 @@
     node = Node(state, clock)
     node.read()
     node.follow()
-    assert not node.standby.picture.stamps and not node.standby.picture.jobs
+    assert not node.standby.cluster_state.stamps and not node.standby.cluster_state.jobs
     _, caught, _ = node.lead(state.elect("n1"))
     assert (caught.late, caught.rebuilt) == (0, False)
     node = Node(state, clock, deaf_to=[keys.JOB_PREFIX])  # planted: an open job ends and the standby is not told
@@ -420,7 +427,7 @@
     node.read()
     node.standby.begin(clock.now_us())
     node.follow()
-    assert spec.id in node.standby.picture.jobs
+    assert spec.id in node.standby.cluster_state.jobs
     state.cancel(spec.id)
     engine, caught, _ = node.lead(state.elect("n1"))
     assert spec.id not in engine.cluster.jobs and caught.late == 1
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -92,8 +92,8 @@
 def test_a_record_made_anew_under_its_key_keeps_its_place_and_effects():
     queue, told = WriteQueue("t/leader", 1, 8), []
     old, new = Entry("t/m/a", lambda: None, 7), Entry("t/m/a", lambda: {"v": 1}, 0)
-    queue.touch(old, lambda: told.append("old"), urgent=False)
-    queue.touch(new, lambda: told.append("new"))
+    queue.enqueue(old, lambda: told.append("old"), urgent=False)
+    queue.enqueue(new, lambda: told.append("new"))
     batch = queue.next_batch(8)
     assert [(g.key, g.stamp) for g in batch.guards] == [("t/leader", 1), ("t/m/a", 7)]
     assert [write.value for write in batch.writes] == [{"v": 1}]
@@ -172,9 +172,9 @@
 def test_while_much_is_urgent_other_writes_get_a_part_of_each_batch():
     queue = WriteQueue("t/leader", 1, 8)
     for n in range(20):
-        queue.touch(Entry(f"t/m/{n}", lambda: {}, 1), urgent=False)
+        queue.enqueue(Entry(f"t/m/{n}", lambda: {}, 1), urgent=False)
     for n in range(3):
-        queue.touch(Entry(f"t/r/{n}", lambda: {}, 1))
+        queue.enqueue(Entry(f"t/r/{n}", lambda: {}, 1))
     batch = queue.next_batch(8, lazy=2)
     assert [entry.key for entry in batch.entries] == ["t/r/0", "t/r/1", "t/r/2", "t/m/0", "t/m/1"]
     queue.saved(5)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -19,7 +19,7 @@
 from tideusher.core.lead.soft_state import Told, newer, refusal, take, tell
 from tideusher.core.lead.standby import Standby
 from tideusher.core.model import keys
-from tideusher.core.model.contacts import MOST_LINES, Own, Sightings
+from tideusher.core.model.contacts import MAX_LINES_PER_HEARTBEAT, LocalContacts, WorkerContacts
 from tideusher.metrics import Metrics
 from tideusher.playground.standins import StateStandIn
 from tideusher.wire import peers as wire
@@ -238,7 +238,7 @@
         writes: float = 0.0
         deaf: bool = False
 
-    own = Own(2 * SECOND_US)
+    own = LocalContacts(2 * SECOND_US)
     own.heard("host-1", "a", "10.0.0.1:9", 0)
     new = wire.Hello("n1", True, "n0", 41, 1.0, False, own.news(0, 1)[0], 3, 41, 5, False, Soft(41, [], [], []))
     assert msgspec.json.decode(msgspec.json.encode(new), type=Hello) == Hello("n1", True, "n0", 41, 1.0)
@@ -247,11 +247,11 @@
 
 
 def test_a_calm_fleet_tells_nothing_and_lines_are_bounded():
-    own = Own(2 * SECOND_US)
+    own = LocalContacts(2 * SECOND_US)
     for number in range(500):
         own.heard(f"host-{number}", "a", "x:1", 0)
     lines, at = own.news(0, SECOND_US)
-    assert len(lines) == MOST_LINES
+    assert len(lines) == MAX_LINES_PER_HEARTBEAT
     while True:
         more, at = own.news(at, SECOND_US)
         lines += more
@@ -261,27 +261,27 @@
     for number in range(500):
         own.heard(f"host-{number}", "a", "x:1", 2 * SECOND_US)
     assert own.news(at, 3 * SECOND_US) == ([], at)
-    assert len(own.news(at, 9 * SECOND_US)[0]) == MOST_LINES  # all silent now
+    assert len(own.news(at, 9 * SECOND_US)[0]) == MAX_LINES_PER_HEARTBEAT  # all silent now
 
 
 def test_silence_is_never_made_longer_than_it_is():
     speaks = {"n1"}
-    own, sightings = Own(2 * SECOND_US), None
-    sightings = Sightings(Own(2 * SECOND_US), lambda node: node in speaks)
+    own, contacts = LocalContacts(2 * SECOND_US), None
+    contacts = WorkerContacts(LocalContacts(2 * SECOND_US), lambda node: node in speaks)
     own.heard("host-1", "a", "x:1", 0)
     lines, at = own.news(0, 0)
-    sightings.told("n1", lines, 10 * SECOND_US)  # on a clock of its own
-    assert sightings.last("host-1", 12 * SECOND_US) == (12 * SECOND_US, "x:1")  # heard there, as far as we know
+    contacts.told("n1", lines, 10 * SECOND_US)  # on a clock of its own
+    assert contacts.last("host-1", 12 * SECOND_US) == (12 * SECOND_US, "x:1")  # heard there, as far as we know
     speaks.clear()  # n1 ended: the last that is known is its last word
-    assert sightings.last("host-1", 20 * SECOND_US) == (10 * SECOND_US, "x:1")
+    assert contacts.last("host-1", 20 * SECOND_US) == (10 * SECOND_US, "x:1")
     speaks.add("n1")
-    sightings.lost("n1")  # it is back, and knows nothing of the machine
-    sightings.told("n1", [], 21 * SECOND_US)
-    assert sightings.last("host-1", 22 * SECOND_US) == (10 * SECOND_US, "x:1")
+    contacts.lost("n1")  # it is back, and knows nothing of the machine
+    contacts.told("n1", [], 21 * SECOND_US)
+    assert contacts.last("host-1", 22 * SECOND_US) == (10 * SECOND_US, "x:1")
     lines, _ = own.news(at, 4 * SECOND_US)
-    sightings.told("n1", lines, 23 * SECOND_US)
-    assert sightings.last("host-1", 25 * SECOND_US) == (19 * SECOND_US, "x:1")
-    assert sightings.last("host-2", 25 * SECOND_US) is None
+    contacts.told("n1", lines, 23 * SECOND_US)
+    assert contacts.last("host-1", 25 * SECOND_US) == (19 * SECOND_US, "x:1")
+    assert contacts.last("host-2", 25 * SECOND_US) is None
 
 
 def test_soft_facts_of_an_older_leader_or_too_old_are_not_used():
@@ -313,10 +313,10 @@
         self.leader = "n0"
 
     def start_node(self, name):
-        own = Own(2 * SECOND_US)
+        own = LocalContacts(2 * SECOND_US)
         standby = Standby(self.config, self.scheduler_policy(), self.clock.wall_us, self.state.record_of, self.mirror)
         standby.begin(self.clock.now_us())
-        self.nodes[name] = (own, Sightings(own, self.alive.__contains__), standby, {})
+        self.nodes[name] = (own, WorkerContacts(own, self.alive.__contains__), standby, {})
         self.alive.add(name)
 
     def scheduler_policy(self):
@@ -343,17 +343,17 @@
                 self.nodes[self.gate(number)][0].heard(name, worker.zone, "127.0.0.1:9", now)
         if self.steps % 2 == 0:
             for name in self.alive:
-                own, sightings, standby, lines = self.nodes[name]
+                own, contacts, standby, lines = self.nodes[name]
                 for other in self.alive - {name}:
                     told, lines[other] = self.nodes[other][0].news(lines.get(other, 0), now)
-                    sightings.told(other, told if self.tells else [], now)
+                    contacts.told(other, told if self.tells else [], now)
                 for key, (value, stamp) in self.state.items.items():
                     standby.changed(key, value, stamp)
                 while standby.piece(now):
                     pass
-                if standby.picture is not None:
-                    for zone in sightings.heard_zones(self.zone_of, now):
-                        standby.picture.zones.heard(zone, now)
+                if standby.cluster_state is not None:
+                    for zone in contacts.all_reporting_zones(self.zone_of, now):
+                        standby.cluster_state.zones.heard(zone, now)
 
     def kill_leader(self):
         """It ends without a signal, and with it what only it knew."""
@@ -364,15 +364,15 @@
     def take_over(self, name):
         """As the leader's actor does."""
         now = self.clock.now_us()
-        _, sightings, standby, _ = self.nodes[name]
+        _, contacts, standby, _ = self.nodes[name]
         token = self.state.elect(name)
         while (caught := standby.catch_up(now)) is None:
             pass
         engine = Engine(
             self.config, self.cluster.policy, token, now, self.clock.wall_us, Metrics(), self.state.record_of,
-            picture=caught.picture,
+            cluster_state=caught.cluster_state,
         )  # fmt: skip
-        soft_state.take_sightings(engine, sightings, now)
+        soft_state.take_sightings(engine, contacts, now)
         self.cluster, self.scheduler, self.leader, self.leads = engine.cluster, engine.scheduler, name, True
         self.gathered_us = now
         self.types()
--- a/tests/test_two_rentals.py
+++ b/tests/test_two_rentals.py
@@ -23,7 +23,7 @@
 from tideusher.config import Policy
 from tideusher.core.decide.mass_failures import MANY
 from tideusher.core.model import keys
-from tideusher.core.model.cluster_state import Picture
+from tideusher.core.model.cluster_state import ClusterState
 from tideusher.core.model.records import RETURNING
 from tideusher.wire.cloud import FAILED, Listed
 from tideusher.wire.state import Delete, Put
@@ -205,11 +205,11 @@
         bed.report(host, 1)
     listing = [Listed(host, host, "m4", "a", False, FAILED, 5.0) for host in [*hosts, *hosts]]
     bed.cluster.listed(listing, bed.clock.now_us())
-    (fall,) = bed.cluster.recovery.falls.values()
-    assert fall.machines == len(hosts)
+    (mass_failure,) = bed.cluster.recovery.falls.values()
+    assert mass_failure.machines == len(hosts)
     return_all(bed)
-    assert not bed.cluster.machines and not fall.parts
-    assert keys.fall_key(fall.name, 1) not in bed.state.items
+    assert not bed.cluster.machines and not mass_failure.parts
+    assert keys.fall_key(mass_failure.name, 1) not in bed.state.items
 
 
 # ---------------------------------------------------------------- what a standby follows
@@ -228,7 +228,7 @@
 def test_who_names_a_machine_is_the_same_for_a_follower_and_a_rebuild(writes):
     """In every order of the records of rentals and adoptions and of their removal."""
     bed = Bed()
-    follower = Picture(make_config(), Policy(), 0, bed.clock.wall_us, bed.state.record_of)
+    follower = ClusterState(make_config(), Policy(), 0, bed.clock.wall_us, bed.state.record_of)
     follower.build(bed.state.read_all(), 0)
     for name, hosts in writes:
         key = keys.rental_key(name)
@@ -238,6 +238,6 @@
         value = None if hosts is None else rental_value(hosts, asked, count=2)  # what it asked for never changes
         write(bed, key, value)
         follower.apply(key, value, bed.state.tide, 0)
-        rebuilt = Picture(make_config(), Policy(), 0, bed.clock.wall_us, bed.state.record_of)
+        rebuilt = ClusterState(make_config(), Policy(), 0, bed.clock.wall_us, bed.state.record_of)
         rebuilt.build(bed.state.read_all(), 0)
-        assert follower.outline() == rebuilt.outline()
+        assert follower.comparable() == rebuilt.comparable()
--- a/tests/test_way.py
+++ b/tests/test_way.py
@@ -156,7 +156,7 @@
         pass
 
 
-class Picture:
+class ClusterState:
     """An engine whose cluster answers each report with one command."""
 
     token = 7
@@ -173,13 +173,13 @@
     clock, part = FakeClock(), Part()
     part.contact_us = clock.now_us()
     leader = Leader(make_config(), Policy(), clock, part, part, None, Metrics())
-    leader._engine = picture = Picture()
+    leader._engine = cluster_state = ClusterState()
     acted = []
     leader._act = acted.append
     report = [workers.Report(f"host-{n}", "a:1", "m4", "a", False, 1, 1, 7 + (n == 2)) for n in range(4)]
     answers = leader.on_reports(report, clock.now_us())
     assert [answer is None for answer in answers] == [False, False, True, False]
-    assert acted == [picture] and picture.answered == 3
+    assert acted == [cluster_state] and cluster_state.answered == 3
     # Their gateways have answered alone meanwhile: a leader that read them all the same would stay late.
     assert leader.on_reports(report, clock.now_us() - REPORT_WAITS_US - 1) == [None] * 4 and len(acted) == 1
     assert leader.on_reports(report, clock.now_us() - REPORT_WAITS_US)[0] is not None
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -17,7 +17,7 @@
 from tideusher.config import CloudSettings, StateSettings, Team
 from tideusher.core.lead.reports import Reports
 from tideusher.core.model import keys
-from tideusher.core.model.cluster_state import Picture
+from tideusher.core.model.cluster_state import ClusterState
 from tideusher.core.model.records import UP, Machine
 from tideusher.core.model.rentals import Rental
 from tideusher.wire.workers import Report, TaskReport
@@ -54,7 +54,12 @@
         for number, name in enumerate(rental.machines):
             zone = ZONES[(first + number) % 2]
             one = Machine(name, TYPE.name, zone, False, rental.name, TYPE.cpus, TYPE.gpus, TYPE.ram_gb, 0)
-            one.phase, one.reported_us, one.own_us, one.session, one.serial = UP, *[bed.clock.now_us()] * 2, 1, 1
+            one.phase, one.last_contact_us, one.last_report_us, one.session, one.serial = (
+                UP,
+                *[bed.clock.now_us()] * 2,
+                1,
+                1,
+            )
             bed.cluster.machines[name] = one
     bed.commit()
     return Fleet(bed, names, [])
@@ -134,9 +139,11 @@
 def takeover(fleet: Fleet) -> float:
     """Seconds to build a picture of all records from nothing."""
     bed = fleet.bed
-    picture = Picture(bed.config, bed.cluster.policy, bed.clock.now_us(), bed.clock.wall_us, bed.state.record_of)
+    cluster_state = ClusterState(
+        bed.config, bed.cluster.policy, bed.clock.now_us(), bed.clock.wall_us, bed.state.record_of
+    )
     began = time.perf_counter()
-    picture.build(bed.state.items, bed.clock.now_us())
+    cluster_state.build(bed.state.items, bed.clock.now_us())
     return time.perf_counter() - began
 
 
--- a/tools/measure_conditions.py
+++ b/tools/measure_conditions.py
@@ -63,7 +63,7 @@
     bed.cluster.rentals["r"] = Rental("r", TYPE.name, "a", False, MACHINES, True, names)
     for number, name in enumerate(names):
         one = Machine(name, TYPE.name, "ab"[number % 2], False, "r", TYPE.cpus, TYPE.gpus, TYPE.ram_gb, 0)
-        one.phase, one.reported_us, one.session, one.serial = UP, bed.clock.now_us(), 1, 1
+        one.phase, one.last_contact_us, one.session, one.serial = UP, bed.clock.now_us(), 1, 1
         bed.cluster.machines[name] = one
 
 
@@ -120,12 +120,12 @@
     began = time.perf_counter()
     bed.see_jobs()
     load_s = time.perf_counter() - began
-    picture = resident_mb()
+    cluster_state = resident_mb()
     pieces(bed)
     total, longest = pieces(bed)
     print(
         f"{jobs:,} open jobs {'each after the one before' if chained else 'without conditions'}: "
-        f"records {records - before:.0f} MB, picture {picture - records:.0f} MB, read in {load_s:.1f} s; "
+        f"records {records - before:.0f} MB, picture {cluster_state - records:.0f} MB, read in {load_s:.1f} s; "
         f"a pass {total:.0f} ms, its longest piece {longest:.0f} ms"
     )
 
