--- a/src/tideusher/actors/election.py
+++ b/src/tideusher/actors/election.py
@@ -18,15 +18,15 @@
 from tideusher.clock import SECOND_US, Clock, to_us
 from tideusher.config import Config, Policy
 from tideusher.core.decide.succession import (
-    RESTS_US,
-    Reign,
+    STEP_DOWN_COOLDOWN_US,
+    Leadership,
     Standing,
-    cannot_read,
-    deposes,
     early_after,
-    gives_way,
-    line,
-    waits_us,
+    election_delay_us,
+    leader_cannot_read_pages,
+    step_down_reason,
+    succession_order,
+    takeover_reason,
 )
 from tideusher.core.model import keys
 from tideusher.core.model.pages import is_fenced
@@ -52,7 +52,7 @@
         self._last_token = 0  # the highest that we ever led with
         #: When we were elected last (steady time).
         self.elected_us = 0
-        self._reign: Reign | None = None  # of another
+        self._reign: Leadership | None = None  # of another
         self._begun = False  # have we looked once who leads?
         self._free_us: int | None = None  # since when nobody leads
         self._rests_until_us = 0
@@ -115,28 +115,28 @@
         """Did we give up the leadership just now?"""
         return self._clock.now_us() < self._rests_until_us
 
-    def gives_way(self) -> str:
+    def step_down_reason(self) -> str:
         """Why we give up our leadership; empty: we do not."""
         if self.token is None or self.rests():
             return ""
-        return gives_way(self._ours(), self._others(), self._clock.now_us() - self.elected_us)
+        return step_down_reason(self._ours(), self._others(), self._clock.now_us() - self.elected_us)
 
     def end_term(self, leave: bool = False) -> None:
         """End our leadership: whatever is decided next is decided under another token, or elsewhere if we `leave`."""
         if leave:
-            self._rests_until_us = self._clock.now_us() + RESTS_US
+            self._rests_until_us = self._clock.now_us() + STEP_DOWN_COOLDOWN_US
         self.token = None
 
     def give_up(self) -> None:
         """Leave the leadership to another; whoever is next stands at once."""
-        token, self._rests_until_us = self.token, self._clock.now_us() + RESTS_US
+        token, self._rests_until_us = self.token, self._clock.now_us() + STEP_DOWN_COOLDOWN_US
         if token is not None:
             self._remove(token)
 
     def successor(self) -> str:
         """Who stands first if the leader ends now, as far as we know; empty: nobody that we hear."""
         leader, token = self.leader() or ("", 0)
-        order = line([one for one in [self._ours(), *self._others()] if one.node != leader], token)
+        order = succession_order([one for one in [self._ours(), *self._others()] if one.node != leader], token)
         return order[0] if order else ""
 
     def leader(self) -> tuple[str, int] | None:
@@ -174,7 +174,7 @@
         if self._free_us is None:
             self._free_us = now_us
         token = self._reign.token if self._reign is not None else 0
-        if now_us - self._free_us < waits_us(self._ours(), self._others(), token):
+        if now_us - self._free_us < election_delay_us(self._ours(), self._others(), token):
             gevent.sleep(0.05)  # whoever stands before us is let go first
             return
         self._stand(0, 0)
@@ -182,7 +182,7 @@
     def _another_leads(self, stored: Stored) -> None:
         now_us = self._clock.now_us()
         if self._reign is None or self._reign.token != stored.stamp:
-            self._reign = Reign(stored.value["node"], stored.stamp, now_us, stored.value.get("early", 0))
+            self._reign = Leadership(stored.value["node"], stored.stamp, now_us, stored.value.get("early", 0))
         begun, self._begun = self._begun, True
         if self._reign.node == self._node and (not begun or now_us - self._born_us < to_us(self._ttl_s) + FORMER_US):
             # An earlier life of this very controller: it ended, and its lease need not run out. A request of it to
@@ -192,17 +192,19 @@
             self.log.info("an earlier life of this controller leads; its leadership is ended")
             self._remove(stored.stamp)
             return
-        why = deposes(self._reign, self._ours(), self._others(), self._size, now_us) or self._shut_out(self._reign)
+        why = takeover_reason(self._reign, self._ours(), self._others(), self._size, now_us) or self._shut_out(
+            self._reign
+        )
         if why:
             self.log.info("take the leadership from %s: %s", self._reign.node, why)
             self._stand(stored.stamp, early_after(self._reign, now_us))
 
-    def _shut_out(self, reign: Reign) -> str:
+    def _shut_out(self, leadership: Leadership) -> str:
         """Is the leader an older version, none of whose transactions can go through while records share pages?"""
         fence = self._store.mirror.get(keys.FENCE)
         if fence is None or not is_fenced(fence.value, fence.stamp) or not self._ours().in_contact:
             return ""
-        return "it does not read shared records" if cannot_read(reign.node, self._others()) else ""
+        return "it does not read shared records" if leader_cannot_read_pages(leadership.node, self._others()) else ""
 
     def _remove(self, token: int) -> None:
         """End a leadership, if it is still the one of this token."""
--- a/src/tideusher/actors/gateway.py
+++ b/src/tideusher/actors/gateway.py
@@ -20,8 +20,8 @@
 from tideusher.clock import Clock, to_s, to_us
 from tideusher.config import Config
 from tideusher.core.decide.bounds import may_answer
-from tideusher.core.decide.cancellations import Cancellations, halts, rectified
-from tideusher.core.decide.routing import Directions, Door, Ear
+from tideusher.core.decide.cancellations import Cancellations, enforce_cancellations, halts
+from tideusher.core.decide.routing import RedirectPolicy, RedirectTarget, ReportMonitor
 from tideusher.core.model import keys
 from tideusher.core.model.contacts import LocalContacts
 from tideusher.core.model.records import JOB_CANCELLED
@@ -60,8 +60,8 @@
         self.log = logging.getLogger("gateway")
         self._config, self._clock = config, clock
         self._store, self._election, self._leader, self._peers = store, election, leader, peers
-        self._directions = Directions()
-        self._ear = Ear(config.settings.workers)
+        self._directions = RedirectPolicy()
+        self._ear = ReportMonitor(config.settings.workers)
         self._own = own or LocalContacts(to_us(config.settings.workers.report_s))
         self._cancellations = cancellations or Cancellations(0)
 
@@ -105,9 +105,11 @@
         if report.zone == self._config.zone:
             return None
         doors = [
-            Door(link.peer.name, link.peer.zone, link.deaf) for link in self._peers.links.values() if link.usable()
+            RedirectTarget(link.peer.name, link.peer.zone, link.deaf)
+            for link in self._peers.links.values()
+            if link.usable()
         ]
-        return self._directions.better(report.machine, report.zone, doors, self._clock.now_us())
+        return self._directions.redirect_target(report.machine, report.zone, doors, self._clock.now_us())
 
     def _from_leader(self, node: str, body: bytes) -> bytes | None:
         if node == self._config.node:
@@ -149,7 +151,7 @@
                 return self._peers.reads(leader)
             return contact_us is not None and now_us - contact_us <= READ_US
 
-        if not self._cancellations.matters(reads, now_us):
+        if not self._cancellations.may_be_unknown_to_leader(reads, now_us):
             return answer
         commands, report = workers.decode_commands(answer), workers.decode_report(body)
-        return workers.encode(rectified(commands, report, self._cancelled))
+        return workers.encode(enforce_cancellations(commands, report, self._cancelled))
--- a/src/tideusher/actors/leader.py
+++ b/src/tideusher/actors/leader.py
@@ -19,14 +19,13 @@
 from tideusher.core.decide import reachability
 from tideusher.core.decide.bounds import may_answer
 from tideusher.core.decide.pass_failures import PassFailures, Remedy
-from tideusher.core.decide.succession import Lag, Standing, all_read
+from tideusher.core.decide.succession import Standing, TimerLag, all_read_pages
 from tideusher.core.lead import explain
 from tideusher.core.lead.cluster import Cluster
 from tideusher.core.lead.engine import Engine
-from tideusher.core.lead.soft_state import Told, newer, take_sightings
-from tideusher.core.lead.soft_state import refusal as soft_refusal
-from tideusher.core.lead.soft_state import take as take_soft
-from tideusher.core.lead.soft_state import tell as tell_soft
+from tideusher.core.lead.soft_state import Told, newer, reason_unusable, take_sightings
+from tideusher.core.lead.soft_state import collect as collect_soft_state
+from tideusher.core.lead.soft_state import restore as restore_soft_state
 from tideusher.core.lead.standby import Standby
 from tideusher.core.model import keys
 from tideusher.core.model.cluster_state import ClusterState
@@ -93,7 +92,7 @@
         self._failures, self._invariants = PassFailures(), Invariants(metrics)
         self._phases: list[str] = []  # of our takeover, those still to come
         #: How late our timers fire.
-        self.lag = Lag(PASS_US)
+        self.lag = TimerLag(PASS_US)
         self._beat_us: int | None = None
         self._loading = False
         self._probing: set[str] = set()
@@ -142,7 +141,7 @@
         if engine is None:
             return None
         if self._soft is None or self._soft.token != engine.token or now_us - self._soft_us > SOFT_US:
-            self._soft, self._soft_us = tell_soft(engine, now_us), now_us
+            self._soft, self._soft_us = collect_soft_state(engine, now_us), now_us
         return self._soft
 
     def behind(self) -> int | None:
@@ -236,12 +235,12 @@
             self._step_down(self._engine)
         else:
             self._standby.begin(self._clock.now_us())
-        self._election.end_term(leave=remedy is Remedy.GIVE_WAY)
+        self._election.end_term(leave=remedy is Remedy.STEP_DOWN)
 
     def _share_records(self, cluster: Cluster) -> None:
         """Small jobs' records share pages once all controllers read them."""
         shared = cluster.pages.open or cluster.pages.fenced
-        wanted = self._policy.records__shared and all_read(len(self._config.peers), self._standings(), shared)
+        wanted = self._policy.records__shared and all_read_pages(len(self._config.peers), self._standings(), shared)
         cluster.share_records(wanted)
 
     def _value_of(self, key: str) -> Any:
@@ -272,7 +271,7 @@
 
     def _give_way(self, engine: Engine | None) -> None:
         if engine is not None and self._election.token == engine.token:
-            why = self._election.gives_way()
+            why = self._election.step_down_reason()
             if why:
                 self.log.info("give up the leadership: %s", why)
                 self._metrics.count("leaderships_given_up")
@@ -314,14 +313,14 @@
             seen = self._sightings.last(machine.name, now_us)
             return seen[0] if seen is not None else 0
 
-        for machine, why in reachability.unheard(
+        for machine, why in reachability.machines_out_of_contact(
             machines, lease_us, report_us, now_us, cluster.health.boot_us, heard_us
         ):
             cluster.give_back(machine, why)
         for machine in machines:
-            if machine.tasks and reachability.mute(machine, report_us, heard_us, now_us):
+            if machine.tasks and reachability.stopped_reporting(machine, report_us, heard_us, now_us):
                 engine.reports.move_on(machine, "its machine does not report", now_us)
-        cluster.falls.linked = self._deaf_zones()
+        cluster.falls.controller_only_zones = self._deaf_zones()
         look = cluster.look_at_silence(now_us, self._probing)
         for probe in look.probes:
             self._probing.add(probe.machine.name)
@@ -392,11 +391,11 @@
 
     def _use_soft(self, engine: Engine, token: int, now_us: int) -> None:
         before = [other for other in self._tokens if other != token]
-        why = soft_refusal(self._told, before[-1] if before else None, now_us)
+        why = reason_unusable(self._told, before[-1] if before else None, now_us)
         if why:
             self.log.info("check soft facts: not used, as %s", why)
         elif self._told is not None:
-            used = take_soft(engine, self._told, now_us)
+            used = restore_soft_state(engine, self._told, now_us)
             self.log.info("check soft facts: %d used, %.1f s old", used, to_s(now_us - self._told.at_us))
         self._metrics.count("soft_facts", "refused" if why else "used")
 
@@ -457,7 +456,7 @@
     def _commands_for(self, engine: Engine, report: workers.Report, now_us: int) -> workers.Commands | None:
         if report.token > engine.token:
             return None
-        commands = self._failures.take_in(
+        commands = self._failures.apply_input(
             f"report of {report.machine}", now_us, lambda: engine.reports.answer(report, now_us)
         )
         return workers.Commands(engine.token, commands) if commands is not None else None
@@ -556,7 +555,7 @@
         renting = engine.cluster.renting
         if names:
             subject = f"answer to rental {rental.name}"
-            self._failures.take_in(subject, now_us, lambda: renting.rented(rental, names, now_us))
+            self._failures.apply_input(subject, now_us, lambda: renting.rented(rental, names, now_us))
         elif names is not None:
             renting.refused(rental, now_us)
         if not rental.answered and not rental.given_up:
@@ -601,7 +600,7 @@
             return
         now_us = self._clock.now_us()
         subject = f"report of {report.machine}"
-        self._failures.take_in(subject, now_us, lambda: engine.reports.look(report, now_us))
+        self._failures.apply_input(subject, now_us, lambda: engine.reports.look(report, now_us))
         self._act(engine)
 
     def _probe(self, token: int, machine: Machine) -> None:
--- a/src/tideusher/actors/questions.py
+++ b/src/tideusher/actors/questions.py
@@ -11,7 +11,7 @@
 from tideusher.actors.replies import Reply, refusal
 from tideusher.actors.store import Store
 from tideusher.config import Config
-from tideusher.core.decide.recovery import told_fall
+from tideusher.core.decide.recovery import describe_mass_failure
 from tideusher.core.lead.explain import told_end, told_stops
 from tideusher.core.model import keys
 from tideusher.core.model.records import JOB_CANCELLED, JOB_DONE
@@ -60,7 +60,7 @@
         found = [item for item in self._store.mirror.items() if item[0].startswith(keys.FALL_PREFIX)]
         found.sort(key=lambda item: -item[1].stamp)
         named = [(*keys.split_fall_key(key), stored.value) for key, stored in found]
-        return Reply(200, [told_fall(name, value) for name, number, value in named if number == 0])
+        return Reply(200, [describe_mass_failure(name, value) for name, number, value in named if number == 0])
 
     def _from_mirror(self, job_id: str) -> Reply:
         """What the state service holds of a job: enough to tell how it ended and what was stopped."""
--- a/src/tideusher/actors/users.py
+++ b/src/tideusher/actors/users.py
@@ -10,7 +10,7 @@
 from tideusher.actors.store import Busy, Conflict, NoLease, Store, Unavailable
 from tideusher.clock import Clock, to_us
 from tideusher.config import Config
-from tideusher.core.decide.conditions import hopeless
+from tideusher.core.decide.conditions import unsatisfiable_reason
 from tideusher.core.model import keys
 from tideusher.core.model.job_record import held_value, holder, open_value, shrunk_value
 from tideusher.core.model.records import CHUNK_TASKS, JOB_CANCELLED, JOB_DONE, OPEN
@@ -216,7 +216,7 @@
         if missing:
             return 422, f"it is to start after {missing[0]}, and there is no such job"
         for one in after:
-            reason = hopeless(one, self._store.mirror[keys.job_key(one.job)].value)
+            reason = unsatisfiable_reason(one, self._store.mirror[keys.job_key(one.job)].value)
             if reason:
                 return 422, reason
         return None
--- a/src/tideusher/core/decide/cancellations.py
+++ b/src/tideusher/core/decide/cancellations.py
@@ -47,7 +47,7 @@
             self._jobs.pop(heapq.heappop(self._stamps)[1], None)
         return True
 
-    def matters(self, leader_reads: Callable[[], bool], now_us: int) -> bool:
+    def may_be_unknown_to_leader(self, leader_reads: Callable[[], bool], now_us: int) -> bool:
         """May we know of a cancellation that the leader, who reads the state service or does not, has yet to hear of?
 
         Answers are read again only then: with some job always cancelled a minute ago all of them would be.
@@ -75,7 +75,7 @@
         return [(job, stamp) for number, (stamp, job) in enumerate(found) if number < TOLD or stamp == last]
 
 
-def rectified(commands: Commands, report: Report, cancelled: Callable[[str], bool]) -> Commands:
+def enforce_cancellations(commands: Commands, report: Report, cancelled: Callable[[str], bool]) -> Commands:
     """The answer to a report, with nothing of a cancelled job started and all that is there of one stopped."""
     kept = [one for one in commands.commands if one.op != "run" or not cancelled(_job(one.task))]
     ended = {(one.task, one.attempt) for one in kept if one.op == "halt" and not one.grace_s}
--- a/src/tideusher/core/decide/conditions.py
+++ b/src/tideusher/core/decide/conditions.py
@@ -65,7 +65,7 @@
     return f"it was to start {kind} {news.job}, which is {how}{more}"
 
 
-def hopeless(after: After, record: dict[str, Any]) -> str:
+def unsatisfiable_reason(after: After, record: dict[str, Any]) -> str:
     """Why a job that is to start after the one of this record never can; empty: it may."""
     if record["st"] == OPEN:
         return ""
@@ -135,7 +135,7 @@
                     self._judge(job, ended(ref, record), now_us)
             elif other.finish_dirty and not other.begun:
                 self._judge(job, News(ref, DOOMED), now_us)
-            elif other.ran or other.over_count:
+            elif other.seen_running or other.over_count:
                 self._judge(job, News(ref, BEGAN), now_us)
 
     def held(self, job: Job, by: str, now_us: int) -> None:
@@ -150,11 +150,11 @@
 
     def began(self, job: Job) -> None:
         """A task of the job runs."""
-        if not job.ran:
-            job.ran = True
+        if not job.seen_running:
+            job.seen_running = True
             self._tell(News(job.spec.id, BEGAN), self._on_begin.pop(job.spec.id, None))
 
-    def doomed(self, job: Job) -> None:
+    def end_decided(self, job: Job) -> None:
         """The job's end is decided: whatever can never run for that is told now, not one write after another."""
         self._tell(News(job.spec.id, DOOMED), self._on_end.get(job.spec.id))
 
--- a/src/tideusher/core/decide/fleet.py
+++ b/src/tideusher/core/decide/fleet.py
@@ -10,7 +10,7 @@
 from tideusher.config import Objective, Policy
 from tideusher.core.decide.gang_reservations import BEST, NONE, OTHER, Request
 from tideusher.core.decide.placement import Demand, slots_in
-from tideusher.core.decide.refusal_cache import Refusals, rights
+from tideusher.core.decide.refusal_cache import RefusalCache, placement_constraints
 from tideusher.core.model.arrivals import Arrivals
 from tideusher.core.model.records import BOOTING, UP, Job, Machine, allowed_on
 from tideusher.wire.cloud import MachineType
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Wish:
+class PlannedRental:
     """A rental that the plan asks for."""
 
     type: str
@@ -236,7 +236,7 @@
         requests: Sequence[Request],
         machines: Iterable[Machine],
         asked: Iterable[tuple[str, str, bool, int]],
-    ) -> list[Wish]:
+    ) -> list[PlannedRental]:
         """What to rent so that unplaced tasks and warm room find a place."""
         bins: list[Bin] = []
         warm_room: list[Machine] = []
@@ -265,7 +265,7 @@
         boot_us = min((to_us(kind.boot_s) for kind in self.types.values()), default=0)
         patience_us = round(boot_us * self._policy.fleet__patience)
         rented: list[Bin] = []
-        nothing = Refusals()
+        nothing = RefusalCache()
         offered = Bins(bins, Demand.least_of(request.job.spec for request in requests))
         for request in requests:
             job, count = request.job, request.count - self._turnover(request.job, boot_us)
@@ -280,7 +280,7 @@
             # What a guest runs on cheap machines is not worth ordinary ones at four times the price, while others
             # have it idle now and then: only when it has waited for several boots.
             thrifty = self._is_guest(job.spec.team) and now_us - job.seen_us < GUEST_BOOTS * boot_us
-            asks = (rights(job.spec), request.zone, soon, thrifty)
+            asks = (placement_constraints(job.spec), request.zone, soon, thrifty)
             if nothing.refuses(asks, job.spec, 1):
                 continue
             before = len(rented)
@@ -301,7 +301,7 @@
         for bin in rented:
             key = (bin.type, bin.zone, bin.spot, bin.reason)
             counted[key] = counted.get(key, 0) + 1
-        return [Wish(t, z, s, n, why) for (t, z, s, why), n in counted.items()]
+        return [PlannedRental(t, z, s, n, why) for (t, z, s, why), n in counted.items()]
 
     def _turnover(self, job: Job, boot_us: int) -> int:
         """How many of an array's tasks its present places will have done before a machine rented now is up.
--- a/src/tideusher/core/decide/gang_reservations.py
+++ b/src/tideusher/core/decide/gang_reservations.py
@@ -32,7 +32,7 @@
     zone: str | None = None
 
 
-class Gathering:
+class GangReservations:
     """Which free machines are held for which gang; decided anew in each pass."""
 
     def __init__(self) -> None:
--- a/src/tideusher/core/decide/health.py
+++ b/src/tideusher/core/decide/health.py
@@ -55,7 +55,7 @@
         kind = self._fleet.types.get(machine.type)
         return to_us(kind.boot_s) if kind is not None else 0
 
-    def surveyed(self, now_us: int) -> None:
+    def listing_received(self, now_us: int) -> None:
         """The cloud's list has come."""
         self._surveyed_us = now_us
 
--- a/src/tideusher/core/decide/mass_failures.py
+++ b/src/tideusher/core/decide/mass_failures.py
@@ -27,7 +27,7 @@
 from tideusher.wire.jobs import JobSpec
 
 #: What a call to a silent machine found. ANSWERED is a report, and no silence any more.
-NO_WAY, TAKEN = "no way to it", "it takes connections and does not answer"
+NO_WAY, HUNG = "no way to it", "it takes connections and does not answer"
 
 CUT, FALLEN, ASKING = "cut", "fallen", "asking"
 
@@ -54,7 +54,7 @@
     silent: int
     asked: int  # silent ones that were called since they fell silent, and did not answer
     witnesses: int  # others of the zone that were heard after the last of the silent ones was
-    linked: bool  # a controller of the zone is heard by us, and hears none of its workers
+    controller_only_zones: bool  # a controller of the zone is heard by us, and hears none of its workers
     controls_ok: bool  # a machine that is heard answered a call of ours just now
     controls: bool  # there was one to call
 
@@ -81,7 +81,7 @@
         return Verdict(ASKING, "our calls do not reach machines that are heard either")
     if evidence.witnesses:
         return Verdict(FALLEN, f"{evidence.witnesses} others of its zone are heard since")
-    if evidence.linked:
+    if evidence.controller_only_zones:
         return Verdict(FALLEN, "a controller of its zone is heard and hears none of its workers")
     return Verdict(CUT, "nothing of its zone is heard: the zone is cut off")
 
@@ -120,7 +120,7 @@
 
 
 @dataclass(slots=True)
-class Look:
+class SilenceReview:
     """What one look at the fleet asks for: calls, and by zone the machines to return with the evidence."""
 
     probes: list[Probe] = field(default_factory=list)
@@ -128,7 +128,7 @@
     list_due: bool = False  # ask for the cloud's list now
 
 
-class Falls:
+class MassFailureDetector:
     """Who is to be called, who has fallen. Judged anew at each look, from what is known at that moment."""
 
     def __init__(
@@ -146,7 +146,7 @@
         self._report_us = to_us(config.settings.workers.report_s)
         self._at_once = max(SAMPLE, min(AT_ONCE, config.settings.resources.max_sockets // SOCKETS_PART))
         #: Zones of which a controller that we hear hears none of its workers; told by whoever runs us.
-        self.linked: Set[str] = frozenset()
+        self.controller_only_zones: Set[str] = frozenset()
         self._control_us: dict[str, int] = {}  # of each zone, when a machine that is heard last answered a call
         self._called_us: dict[str, int] = {}  # and when one was last called
         self._first_us: dict[str, int] = {}  # of each zone with silent machines, since when there are some
@@ -172,25 +172,25 @@
         if called_us < self._open.get(machine.zone, 0):
             return
         machine.probes_failed += 1
-        machine.found = TAKEN if taken else NO_WAY
+        machine.probe_result = HUNG if taken else NO_WAY
         machine.last_probe_us = now_us
 
-    def shaky(self, zone: str) -> bool:
+    def has_many_silent(self, zone: str) -> bool:
         """Are many machines of the zone silent, as of the last look?"""
         return zone in self._shaky
 
-    def doubted(self, machine: Machine, now_us: int) -> bool:
+    def avoid_placement(self, machine: Machine, now_us: int) -> bool:
         """Is nothing to be placed there for now? It is silent, or deaf, or may be about to be found so with its zone.
 
         Tasks that a fall took were once placed again on machines that had died with theirs.
         """
-        if machine.name in self._silent or reachability.deaf(machine, now_us):
+        if machine.name in self._silent or reachability.is_unresponsive(machine, now_us):
             return True
         return machine.zone in self._shaky and now_us - machine.last_contact_us > self._report_us * 3 // 2
 
     # ---------------------------------------------------------------- one look
 
-    def look(self, now_us: int, probing: Set[str]) -> Look:
+    def review(self, now_us: int, probing: Set[str]) -> SilenceReview:
         """Whom to call beside those being called, and who is to be returned."""
         zones = self._by_zone(self._health.suspects(now_us))
         self._silent = {machine.name for silent in zones.values() for machine in silent}
@@ -198,12 +198,12 @@
         if not zones:
             self._first_us, self._open, self._sampled = {}, {}, set()
             self._told.clear()
-            return Look()
+            return SilenceReview()
         heard = self._heard(now_us)
         self._first_us = {zone: self._first_us.get(zone, now_us) for zone in zones}
         self._open = {zone: since_us for zone, since_us in self._open.items() if zone in zones}
         self._sampled &= self._open.keys()
-        look = Look()
+        look = SilenceReview()
         free = self._at_once - len(probing)
         for zone, silent in sorted(zones.items()):
             verdict = self._judge(zone, silent, heard, now_us)
@@ -226,15 +226,15 @@
         # Evidence counts only from after the silence began: who was heard before it proves nothing of it.
         last_us = max(machine.last_us for machine in silent)
         witnesses = sum(m.zone == zone and m.last_contact_us > last_us for m in heard)
-        linked = zone in self.linked
+        controller_only_zones = zone in self.controller_only_zones
         others = () if witnesses else self._control_us.values()
         control_us = max([self._control_us.get(zone, -CONTROL_US), *others])
         controls_ok = control_us >= self._first_us[zone] and now_us - control_us <= CONTROL_US
-        way = bool(controls_ok and (witnesses or linked))
+        way = bool(controls_ok and (witnesses or controller_only_zones))
         if way and zone not in self._open:
             # What was called in vain before there was a way is void: at the end of a cut, all of a zone was.
             for machine in silent:
-                machine.probes_failed, machine.found = 0, ""
+                machine.probes_failed, machine.probe_result = 0, ""
             self._open[zone] = now_us
         elif not way:
             self._open.pop(zone, None)
@@ -244,7 +244,7 @@
             self._sampled.add(zone)
         if zone in self._sampled:
             asked = len(silent)  # some of those that were called may be on their way back to the cloud already
-        verdict = judge(Evidence(len(silent), asked, witnesses, linked, controls_ok, bool(heard)))
+        verdict = judge(Evidence(len(silent), asked, witnesses, controller_only_zones, controls_ok, bool(heard)))
         if len(silent) >= MANY and self._told.get(zone) != verdict.kind:
             self._told[zone] = verdict.kind
             silent_s = to_s(now_us - min(machine.last_us or now_us for machine in silent))
@@ -260,7 +260,7 @@
             Probe(machine)
             for machine in sorted(silent, key=lambda m: (m.probes_failed > 0, m.last_probe_us, m.name))
             if machine.name not in probing
-            and now_us - machine.last_probe_us >= (HANGS_AGAIN_US if machine.found == TAKEN else AGAIN_US)
+            and now_us - machine.last_probe_us >= (HANGS_AGAIN_US if machine.probe_result == HUNG else AGAIN_US)
         ]
 
     def _controls(self, zone: str, heard: list[Machine], now_us: int, probing: Set[str]) -> list[Probe]:
@@ -290,7 +290,7 @@
         for machine in silent:
             if machine.probes_failed < needed:
                 continue
-            if machine.found == TAKEN:
+            if machine.probe_result == HUNG:
                 room = self._free_room(now_us) if room is None else room
                 if not self._replace(machine, room, now_us):
                     continue
--- a/src/tideusher/core/decide/pass_failures.py
+++ b/src/tideusher/core/decide/pass_failures.py
@@ -42,8 +42,8 @@
 class Remedy(Enum):
     """How the leadership goes on."""
 
-    READ_ANEW = auto()  # under a new token, on the records
-    GIVE_WAY = auto()  # another controller leads
+    REBUILD = auto()  # under a new token, on the records
+    STEP_DOWN = auto()  # another controller leads
 
 
 @dataclass(slots=True)
@@ -66,20 +66,20 @@
         """A pass, a takeover or a message ended with this."""
         if isinstance(error, PassFailed):
             _set_aside(self.jobs, error.job, now_us)
-            return Remedy.READ_ANEW
+            return Remedy.REBUILD
         if isinstance(error, InputFailed):
             _set_aside(self.inputs, error.subject, now_us)
         self._failed_us = [at_us for at_us in self._failed_us if now_us - at_us < WINDOW_US] + [now_us]
-        return Remedy.GIVE_WAY if len(self._failed_us) >= MOST else Remedy.READ_ANEW
+        return Remedy.STEP_DOWN if len(self._failed_us) >= MOST else Remedy.REBUILD
 
-    def set_aside(self, name: str, now_us: int) -> bool:
+    def is_quarantined(self, name: str, now_us: int) -> bool:
         """Is the job or input left alone for now?"""
         known = self.jobs.get(name) or self.inputs.get(name)
         return known is not None and now_us < known.until_us
 
-    def take_in(self, subject: str, now_us: int, change: Callable[[], T]) -> T | None:
+    def apply_input(self, subject: str, now_us: int, change: Callable[[], T]) -> T | None:
         """Carry out what an input changes; None, with nothing changed, if it is set aside. Raises InputFailed."""
-        if self.inputs and self.set_aside(subject, now_us):
+        if self.inputs and self.is_quarantined(subject, now_us):
             return None
         try:
             return change()
--- a/src/tideusher/core/decide/placement.py
+++ b/src/tideusher/core/decide/placement.py
@@ -42,7 +42,7 @@
         return cpus + 1e-9 >= self.cpus and gpus + 1e-9 >= self.gpus and ram + 1e-9 >= self.ram
 
 
-class Room:
+class FreeCapacity:
     """The machines that a pass may place on, with room tentatively taken during the pass."""
 
     def __init__(self, machines: Sequence[Machine], parts: int) -> None:
@@ -98,7 +98,7 @@
         return best
 
 
-class Shelf:
+class PlacementCache:
     """The machines of a pass in the order in which tasks of one shape are placed on them, kept up to date.
 
     `Room.place` looks at every machine for every job: with 125 machines that was two thirds of an embedded
--- a/src/tideusher/core/decide/preempt.py
+++ b/src/tideusher/core/decide/preempt.py
@@ -36,7 +36,7 @@
     return begin_us + round(min_run_us * (1 + stretch))
 
 
-class Stoppable:
+class PreemptibleTasks:
     """Which tasks may be stopped for which request, as long as nothing is stopped.
 
     Every waiting request asks this of every job that runs. What does not depend on the request is judged
@@ -109,7 +109,7 @@
         return free or asking.ratio + self._policy.margin <= holding.ratio
 
 
-def room_of_halted(machines: Sequence[Machine]) -> dict[str, list[float]]:
+def capacity_after_stops(machines: Sequence[Machine]) -> dict[str, list[float]]:
     """Per machine with tasks on their way out: the room there will be once they are gone."""
     rooms = {}
     for machine in machines:
@@ -166,7 +166,7 @@
         return found
 
 
-def choose_room(
+def choose_victims(
     request: Job,
     count: int,
     machines: Sequence[Machine],
--- a/src/tideusher/core/decide/reachability.py
+++ b/src/tideusher/core/decide/reachability.py
@@ -22,33 +22,33 @@
 MUTE_REPORTS = 3
 
 
-def missed(machine: Machine, report_us: int, now_us: int) -> bool:
+def record_ignored_answer(machine: Machine, report_us: int, now_us: int) -> bool:
     """An answer had no effect: is the worker deaf?
 
     Reports that a cut held up come all at once when it is over, and none of their answers had time to arrive: they
     count as one. All machines of a zone would else get no work for the first seconds after its cut.
     """
-    if machine.missed and now_us - machine.missed_us < report_us // 2:
+    if machine.ignored_answers and now_us - machine.ignored_answer_us < report_us // 2:
         return False
-    machine.missed += 1
-    machine.missed_us = now_us
-    if machine.missed < DEAF_AFTER:
+    machine.ignored_answers += 1
+    machine.ignored_answer_us = now_us
+    if machine.ignored_answers < DEAF_AFTER:
         return False
     machine.unresponsive_until_us = now_us + REST_US
     return True
 
 
-def heeded(machine: Machine) -> None:
+def record_effective_answer(machine: Machine) -> None:
     """An answer was carried out."""
-    machine.missed = machine.unresponsive_until_us = 0
+    machine.ignored_answers = machine.unresponsive_until_us = 0
 
 
-def unproven(machine: Machine, now_us: int) -> None:
+def mark_unproven(machine: Machine, now_us: int) -> None:
     """Nothing is known of it but a report from before it can have heard us."""
     machine.unresponsive_until_us = now_us + REST_US
 
 
-def mute(machine: Machine, report_us: int, heard_us: Callable[[Machine], int], now_us: int) -> bool:
+def stopped_reporting(machine: Machine, report_us: int, heard_us: Callable[[Machine], int], now_us: int) -> bool:
     """Has it not reported for some reports, though it did before? Whether calls reach it is not asked.
 
     `heard_us`: when any controller heard it last. One that reports to a controller from which nothing comes to us is
@@ -58,12 +58,12 @@
     return 0 < machine.last_report_us < since_us and heard_us(machine) < since_us
 
 
-def deaf(machine: Machine, now_us: int) -> bool:
+def is_unresponsive(machine: Machine, now_us: int) -> bool:
     """Is nothing to be placed there, as it would not be begun?"""
     return now_us < machine.unresponsive_until_us
 
 
-def unheard(
+def machines_out_of_contact(
     machines: Iterable[Machine],
     lease_us: int,
     report_us: int,
--- a/src/tideusher/core/decide/recovery.py
+++ b/src/tideusher/core/decide/recovery.py
@@ -19,7 +19,7 @@
 from tideusher.invariants import Invariants, Rule
 from tideusher.metrics import Metrics
 
-LOST_ALL, LOST_SOME, EVERYBODY = 0, 1, 2
+LOST_ALL, LOST_SOME, NO_PRECEDENCE = 0, 1, 2
 #: Machines of a zone that are found within this time of each other belong to one fall.
 SAME_US = 15 * SECOND_US
 #: So many falls are kept on record, and of each so many of the jobs that lost most.
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Fall:
+class MassFailure:
     """Machines of one zone that fell together, from the first silence until all that they held is whole again.
 
     Times are of the time of day. `parts`: names whose return is not confirmed, as they were written.
@@ -67,9 +67,9 @@
         }
 
 
-def read_fall(name: str, value: dict[str, Any]) -> Fall:
+def read_fall(name: str, value: dict[str, Any]) -> MassFailure:
     """The inverse of Fall.value. Jobs beyond those on record are not known any more."""
-    return Fall(
+    return MassFailure(
         name,
         value["zone"],
         value["began"],
@@ -84,7 +84,7 @@
     )
 
 
-def told_fall(name: str, value: dict[str, Any]) -> dict[str, Any]:
+def describe_mass_failure(name: str, value: dict[str, Any]) -> dict[str, Any]:
     """A record as told to people."""
     whole_at = value["whole_at"]
     return {
@@ -109,7 +109,7 @@
 class _Hurt:
     """A job that lost tasks, and how many of them have no new place yet."""
 
-    mass_failure: Fall
+    mass_failure: MassFailure
     owed: int = 0
 
 
@@ -138,14 +138,14 @@
 
     def __init__(self, cluster: Machines) -> None:
         self._c = cluster
-        self.falls: dict[str, Fall] = {}
+        self.falls: dict[str, MassFailure] = {}
         self._count = 0
         self._hurt: dict[str, _Hurt] = {}  # jobs that lost tasks and are not whole again
         self._entries: dict[str, Entry] = {}
 
     # ---------------------------------------------------------------- a fall
 
-    def fell(self, zone: str, machines: Iterable[tuple[Machine, str]], now_us: int) -> None:
+    def return_failed(self, zone: str, machines: Iterable[tuple[Machine, str]], now_us: int) -> None:
         """Return machines that fell together: persisted in few values, then the cloud hears of them."""
         machines = [(machine, why) for machine, why in machines if machine.phase != RETURNING]
         if not machines:
@@ -171,7 +171,7 @@
             )
         self._write(mass_failure)
 
-    def _part_with_room(self, mass_failure: Fall, size: int) -> int:
+    def _part_with_room(self, mass_failure: MassFailure, size: int) -> int:
         """The last part if it still waits to be written and holds more names, else a new one.
 
         Calls come back over seconds: a part for each look would again be a write for every few machines.
@@ -189,7 +189,7 @@
             mass_failure.zone == zone and wall_us - mass_failure.known_us < SAME_US for mass_failure in self._ours()
         )
 
-    def _ours(self) -> Iterable[Fall]:
+    def _ours(self) -> Iterable[MassFailure]:
         """Falls that this leader found: a later one's numbers begin anew."""
         return (
             mass_failure for mass_failure in self.falls.values() if mass_failure.name.startswith(f"{self._c.token}-")
@@ -209,15 +209,15 @@
         for machine in machines:
             self._c.ask_cloud_to_return(machine)
 
-    def _fall_of(self, zone: str, silent_us: int, why: str) -> Fall:
+    def _fall_of(self, zone: str, silent_us: int, why: str) -> MassFailure:
         wall_us = self._c.wall_us()
         for mass_failure in self._ours():
             if mass_failure.zone == zone and wall_us - mass_failure.known_us < SAME_US:
                 return mass_failure
-        mass_failure = Fall(self._new_name(), zone, wall_us - silent_us, wall_us, why)
+        mass_failure = MassFailure(self._new_name(), zone, wall_us - silent_us, wall_us, why)
         self.falls[mass_failure.name] = mass_failure
         self._c.metrics.count("falls", zone)
-        self._c.metrics.detected(zone, to_s(silent_us))
+        self._c.metrics.observe_mass_failure_detection(zone, to_s(silent_us))
         for old in list(self.falls.values())[:-FALLS_KEPT]:
             if not old.parts and not self._mends(old):
                 del self.falls[old.name]
@@ -257,7 +257,7 @@
 
     def step(self) -> None:
         """Look which of the jobs that lost tasks are whole again. Costs what is hurt, not what is open."""
-        done: dict[str, Fall] = {}
+        done: dict[str, MassFailure] = {}
         for job_id, hurt in list(self._hurt.items()):
             job = self._c.jobs.get(job_id)
             if job is None or job.status != OPEN or (hurt.owed <= 0 and self._runs(job)):
@@ -268,14 +268,16 @@
         for mass_failure in done.values():
             if not self._mends(mass_failure):
                 mass_failure.whole_us = self._c.wall_us()
-                self._c.metrics.whole(mass_failure.zone, to_s(mass_failure.whole_us - mass_failure.began_us))
+                self._c.metrics.observe_recovery(
+                    mass_failure.zone, to_s(mass_failure.whole_us - mass_failure.began_us)
+                )
                 self._c.log.info(
                     "fall %s: all %d jobs that lost tasks are whole again, %.0f s after it began",
                     mass_failure.name, len(mass_failure.jobs), to_s(mass_failure.whole_us - mass_failure.began_us),
                 )  # fmt: skip
                 self._write(mass_failure)
 
-    def _mends(self, mass_failure: Fall) -> bool:
+    def _mends(self, mass_failure: MassFailure) -> bool:
         """Is a job not whole again that this fall hurt last?"""
         return any(hurt.mass_failure is mass_failure for hurt in self._hurt.values())
 
@@ -283,7 +285,7 @@
     def _runs(job: Job) -> bool:
         return all(task.running_us is not None for task in job.live.values())
 
-    def fall_of(self, job: Job) -> Fall | None:
+    def mass_failure_of(self, job: Job) -> MassFailure | None:
         """The fall that the job is still recovering from."""
         hurt = self._hurt.get(job.spec.id)
         return hurt.mass_failure if hurt is not None else None
@@ -294,7 +296,7 @@
         if hurt is not None:
             hurt.owed -= count
 
-    def still_waiting(self, mass_failure: Fall) -> list[Job]:
+    def still_waiting(self, mass_failure: MassFailure) -> list[Job]:
         """Open jobs that this fall hurt last and that are not whole again, those that lost most first."""
         jobs = [
             self._c.jobs[name]
@@ -312,13 +314,13 @@
                 count += min(hurt.owed, job.pending)
         return count
 
-    def place(self, job: Job) -> int:
+    def precedence(self, job: Job) -> int:
         """Before whom the job is rebuilt: services that lost all, then those that lost some, then everybody else.
 
         Only for the highest rank: it may stop what else would take the room, so that would go in vain.
         """
         if job.spec.id not in self._hurt or not job.is_service or job.spec.rank != CRITICAL:
-            return EVERYBODY
+            return NO_PRECEDENCE
         return LOST_SOME if job.live else LOST_ALL
 
     # ---------------------------------------------------------------- records
@@ -340,7 +342,7 @@
             mass_failure = self.falls.get(name)
             if mass_failure is None:  # its record was not written any more: what it named is returned all the same
                 wall_us = self._c.wall_us()
-                mass_failure = self.falls[name] = Fall(
+                mass_failure = self.falls[name] = MassFailure(
                     name, value["zone"], wall_us, wall_us, "an earlier leader found it"
                 )
             here = [m for host in value["hosts"] if (m := self._c.machines.get(host)) is not None]
@@ -358,10 +360,10 @@
                 if job is not None and job.status == OPEN and job_id not in mass_failure.back:
                     self._hurt[job_id] = _Hurt(mass_failure, min(mass_failure.jobs[job_id], job.pending))
 
-    def _write(self, mass_failure: Fall) -> None:
+    def _write(self, mass_failure: MassFailure) -> None:
         self._c.write_queue.enqueue(self._entry(mass_failure), urgent=False)
 
-    def _entry(self, mass_failure: Fall) -> Entry:
+    def _entry(self, mass_failure: MassFailure) -> Entry:
         key = keys.fall_key(mass_failure.name, 0)
         if key not in self._entries:
             self._entries[key] = Entry(
@@ -369,7 +371,7 @@
             )
         return self._entries[key]
 
-    def _part_entry(self, mass_failure: Fall, number: int) -> Entry:
+    def _part_entry(self, mass_failure: MassFailure, number: int) -> Entry:
         key = keys.fall_key(mass_failure.name, number)
         if key not in self._entries:
 
--- a/src/tideusher/core/decide/refusal_cache.py
+++ b/src/tideusher/core/decide/refusal_cache.py
@@ -14,12 +14,12 @@
 KEPT = 8
 
 
-def rights(spec: JobSpec) -> tuple[Hashable, ...]:
+def placement_constraints(spec: JobSpec) -> tuple[Hashable, ...]:
     """What decides, beside the amounts, which machines a request may use."""
     return (tuple(spec.types) if spec.types is not None else None, spec.zone, spec.spot, spec.one_zone, spec.shape)
 
 
-class Refusals:
+class RefusalCache:
     """What found nothing, by kind of request."""
 
     def __init__(self) -> None:
--- a/src/tideusher/core/decide/routing.py
+++ b/src/tideusher/core/decide/routing.py
@@ -27,7 +27,7 @@
 DEAF_MOST_US = 30 * SECOND_US
 
 
-class Ear:
+class ReportMonitor:
     """Does this node hear the workers that it had?"""
 
     def __init__(self, workers: WorkerSettings) -> None:
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Door:
+class RedirectTarget:
     """Another controller as far as it matters to workers."""
 
     node: str
@@ -70,14 +70,14 @@
     trial_us: int | None = None  # when one worker was sent there to see
 
 
-class Directions:
+class RedirectPolicy:
     """Remembers who was sent where, for as long as that can come back."""
 
     def __init__(self) -> None:
         self._sent: dict[str, tuple[str, int]] = {}
         self._shut: dict[str, _Shut] = {}
 
-    def better(self, worker: str, zone: str, doors: Iterable[Door], now_us: int) -> str | None:
+    def redirect_target(self, worker: str, zone: str, doors: Iterable[RedirectTarget], now_us: int) -> str | None:
         """The node of the worker's zone that it is to report to; None: it stays here.
 
         The workers of a zone are shared among its nodes by their names, so that the same one is always sent to
--- a/src/tideusher/core/decide/succession.py
+++ b/src/tideusher/core/decide/succession.py
@@ -30,7 +30,7 @@
 #: A leader gives way no sooner than this after its election, and only to one that is faster by this factor.
 YIELDS_AFTER_US, FASTER = 20 * SECOND_US, 4
 #: One that gave way stands last for so long.
-RESTS_US = 60 * SECOND_US
+STEP_DOWN_COOLDOWN_US = 60 * SECOND_US
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
     reads_pages: bool = False  # does it read shared placement records? An older version does not
 
 
-def line(standings: Iterable[Standing], token: int) -> list[str]:
+def succession_order(standings: Iterable[Standing], token: int) -> list[str]:
     """Who stands first, second, ...: the same on all nodes that know the same. A tie is settled by the token.
 
     A node that is cut off from the state service is not in it.
@@ -62,14 +62,14 @@
     return [one.node for one in sorted((one for one in standings if one.in_contact), key=place)]
 
 
-def waits_us(ours: Standing, others: Sequence[Standing], token: int) -> int:
+def election_delay_us(ours: Standing, others: Sequence[Standing], token: int) -> int:
     """For how long this node lets others stand first once the leadership is free."""
-    order = line([ours, *others], token)
+    order = succession_order([ours, *others], token)
     return STEP_US * (order.index(ours.node) if ours.node in order else len(order))
 
 
 @dataclass(frozen=True, slots=True)
-class Reign:
+class Leadership:
     """What is known of the present leadership."""
 
     node: str
@@ -78,30 +78,32 @@
     early: int  # changes on evidence in a row up to it, each within CALM_US of the one before
 
 
-def deposes(reign: Reign, ours: Standing, others: Sequence[Standing], size: int, now_us: int) -> str:
+def takeover_reason(
+    leadership: Leadership, ours: Standing, others: Sequence[Standing], size: int, now_us: int
+) -> str:
     """Why this node takes the leadership from a leader whose lease still runs; empty: it does not."""
-    if not ours.in_contact or ours.deaf or ours.lost != reign.token:
+    if not ours.in_contact or ours.deaf or ours.lost != leadership.token:
         return ""
-    if reign.early and now_us - reign.since_us < DAMP_US << min(reign.early - 1, DAMP_MOST):
+    if leadership.early and now_us - leadership.since_us < DAMP_US << min(leadership.early - 1, DAMP_MOST):
         return ""
-    heard = [one for one in others if one.node != reign.node and one.in_contact]
-    agree = [ours, *(one for one in heard if one.lost == reign.token)]
+    heard = [one for one in others if one.node != leadership.node and one.in_contact]
+    agree = [ours, *(one for one in heard if one.lost == leadership.token)]
     if 2 * len(agree) <= size - 1 or len(agree) < 2:
         return ""
     zones, all_zones = {one.zone for one in agree}, {one.zone for one in [ours, *heard]}
     if len(zones) < min(2, len(all_zones)):
         return ""
-    if line(agree, reign.token)[0] != ours.node:
+    if succession_order(agree, leadership.token)[0] != ours.node:
         return ""
     return f"{len(agree)} of {size - 1} others, in {len(zones)} zones, lost their connection to it and are refused"
 
 
-def cannot_read(leader: str, others: Sequence[Standing]) -> bool:
+def leader_cannot_read_pages(leader: str, others: Sequence[Standing]) -> bool:
     """Is the leader an older version that does not read all that is on record? It can write nothing."""
     return any(one.node == leader and not one.reads_pages for one in others)
 
 
-def all_read(peers: int, others: Sequence[Standing], shared_before: bool) -> bool:
+def all_read_pages(peers: int, others: Sequence[Standing], shared_before: bool) -> bool:
     """May small jobs' records share pages?
 
     Once all other controllers were heard to read them, and until one is heard that does not: an older version that is
@@ -112,12 +114,12 @@
     return shared_before or len(others) == peers
 
 
-def early_after(reign: Reign, now_us: int) -> int:
+def early_after(leadership: Leadership, now_us: int) -> int:
     """How many changes on evidence in a row there are with one made now."""
-    return reign.early + 1 if now_us - reign.since_us < CALM_US else 1
+    return leadership.early + 1 if now_us - leadership.since_us < CALM_US else 1
 
 
-def gives_way(ours: Standing, others: Sequence[Standing], led_us: int) -> str:
+def step_down_reason(ours: Standing, others: Sequence[Standing], led_us: int) -> str:
     """Why a leader gives up its leadership by itself; empty: it goes on.
 
     One that computes several times slower than it should renews its lease and does little else: its answers come
@@ -132,7 +134,7 @@
     return ""
 
 
-class Lag:
+class TimerLag:
     """How late a timer fires, smoothed: standing still once for a second and a half does not make a node slow."""
 
     def __init__(self, period_us: int) -> None:
--- a/src/tideusher/core/decide/takeover_readiness.py
+++ b/src/tideusher/core/decide/takeover_readiness.py
@@ -23,7 +23,7 @@
     passed_us: int | None = None
 
 
-class Truth:
+class TakeoverReadiness:
     """Owns, for each zone, which of the inherited machines have yet to be heard."""
 
     def __init__(self, machines: Mapping[str, Machine], began_us: int, report_us: int, settle_us: int) -> None:
@@ -61,11 +61,11 @@
         machine = self._machines.get(name)
         return machine is not None and not machine.last_contact_us and machine.phase != RETURNING
 
-    def of(self, zone: str) -> bool:
+    def zone_ready(self, zone: str) -> bool:
         """May machines of the zone be returned as not needed?"""
         known = self._zones.get(zone)
         return known is None or known.passed_us is not None
 
-    def whole(self) -> bool:
+    def all_zones_ready(self) -> bool:
         """May work be stopped to make room for other work? Room may be in any zone."""
         return all(zone.passed_us is not None for zone in self._zones.values())
--- a/src/tideusher/core/lead/cluster.py
+++ b/src/tideusher/core/lead/cluster.py
@@ -20,12 +20,12 @@
 from tideusher.core.decide.fleet import Fleet
 from tideusher.core.decide.health import Health
 from tideusher.core.decide.limits import Limits
-from tideusher.core.decide.mass_failures import MANY, Falls, Look
+from tideusher.core.decide.mass_failures import MANY, MassFailureDetector, SilenceReview
 from tideusher.core.decide.pass_failures import PassFailures
 from tideusher.core.decide.preempt import Standing
 from tideusher.core.decide.recovery import Recovery
 from tideusher.core.decide.starts import Kind, kind_of, refusal, zones_of_others
-from tideusher.core.decide.takeover_readiness import Truth
+from tideusher.core.decide.takeover_readiness import TakeoverReadiness
 from tideusher.core.lead.own_machines import OwnMachines
 from tideusher.core.lead.renting import Renting
 from tideusher.core.model import keys
@@ -107,9 +107,11 @@
         types, arrivals = self.cluster_state.types, self.cluster_state.arrivals
         self.fleet = Fleet(policy, settings.objectives, types, arrivals, report_us, self.is_guest)
         self.health = Health(config, policy, self.machines, self.fleet, now_us, self.cluster_state.zones)
-        self.falls = Falls(config, self.machines, lambda: self.fleet.types, self.health, self._crowded, self._yields)
+        self.falls = MassFailureDetector(
+            config, self.machines, lambda: self.fleet.types, self.health, self._crowded, self._yields
+        )
         workers_ = settings.workers
-        self.truth = Truth(self.machines, now_us, to_us(workers_.report_s), to_us(workers_.lease_s))
+        self.truth = TakeoverReadiness(self.machines, now_us, to_us(workers_.report_s), to_us(workers_.lease_s))
         self.recovery = Recovery(self)
         self.conditions = Conditions(self, record_of)
         self.limits = Limits(self)
@@ -361,7 +363,7 @@
         self.log.info("end %s: %s", job.spec.id, why)
         self.metrics.count("jobs_ended_unmet")
         self._finish(job, JOB_CANCELLED, why, urgent=False)
-        self.conditions.doomed(job)
+        self.conditions.end_decided(job)
 
     def _stop_job(self, job: Job, grace_s: float, reason: str) -> None:
         for task in list(job.live.values()):
@@ -485,9 +487,9 @@
 
     def _began_whole(self, job: Job) -> None:
         """Do all its tasks run, or are over? Said once. The last placed are looked at first: they begin last."""
-        if job.whole or job.pending > 0 or any(task.running_us is None for task in reversed(job.live.values())):
+        if job.all_started or job.pending > 0 or any(task.running_us is None for task in reversed(job.live.values())):
             return
-        job.whole = True
+        job.all_started = True
         if all(task.ready_us is not None for task in job.live.values()):
             return  # it ran whole under an earlier leader, which said so
         self.metrics.job("started", job.spec.job_class, job.spec.team)
@@ -545,7 +547,7 @@
         if report.token < self.token:
             # It may be a copy of a report from before its return, of which an earlier leader knew: nothing is placed
             # there until it shows that it is there and hears us.
-            reachability.unproven(machine, now_us)
+            reachability.mark_unproven(machine, now_us)
         if returned:
             self.give_back(machine, "its return was answered before")
         return machine
@@ -607,17 +609,17 @@
     def _yields(self, job: Job) -> bool:
         return job.spec.rank > CRITICAL and not job.is_gang and not self.min_run_us(job)
 
-    def look_at_silence(self, now_us: int, probing: Set[str]) -> Look:
+    def look_at_silence(self, now_us: int, probing: Set[str]) -> SilenceReview:
         """Judge who has fallen silent and ask for the return of those that have fallen; returns whom to call."""
-        look = self.falls.look(now_us, probing)
+        look = self.falls.review(now_us, probing)
         for zone, fallen in look.fallen.items():
-            self._gone_silent(zone, fallen, self.falls.shaky(zone), now_us)
+            self._gone_silent(zone, fallen, self.falls.has_many_silent(zone), now_us)
         return look
 
     def _gone_silent(self, zone: str, fallen: list[tuple[Machine, str]], many: bool, now_us: int) -> None:
         """Few died each by itself; many are a fall, with a record of its own."""
         if many or self.recovery.recent(zone):
-            self.recovery.fell(zone, fallen, now_us)
+            self.recovery.return_failed(zone, fallen, now_us)
             return
         for machine, why in fallen:
             self.give_back(machine, why)
@@ -625,7 +627,7 @@
     def returned(self, names: Iterable[str], now_us: int) -> None:
         """The cloud confirmed: the machines and everything on them are gone."""
         for name in names:
-            self.failures.take_in(f"return of {name}", now_us, partial(self._returned, name, now_us))
+            self.failures.apply_input(f"return of {name}", now_us, partial(self._returned, name, now_us))
         self.ledger.set_fleet(self.machines.values())
 
     def _returned(self, name: str, now_us: int) -> None:
@@ -648,10 +650,10 @@
 
     def listed(self, listing: list[Listed], now_us: int) -> None:
         """The cloud's (lagging) list: failed machines are returned, unknown ones adopted in time."""
-        self.health.surveyed(now_us)
+        self.health.listing_received(now_us)
         failed: dict[str, list[tuple[Machine, str]]] = {}
         for item in {item.name: item for item in listing}.values():
-            stopped = self.failures.take_in(
+            stopped = self.failures.apply_input(
                 f"listed machine {item.name}", now_us, partial(self._listed, item, now_us)
             )
             if stopped is not None:
--- a/src/tideusher/core/lead/engine.py
+++ b/src/tideusher/core/lead/engine.py
@@ -106,7 +106,7 @@
 
     def saved(self, revision: int, now_us: int) -> None:
         """The batch is through: its effects may be told."""
-        self.cluster.write_queue.saved(revision)
+        self.cluster.write_queue.batch_committed(revision)
         self.cluster.saved_us, self.cluster.writable = now_us, True
 
     def unwritable(self) -> None:
--- a/src/tideusher/core/lead/explain.py
+++ b/src/tideusher/core/lead/explain.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from tideusher.clock import to_s
-from tideusher.core.decide.recovery import told_fall
+from tideusher.core.decide.recovery import describe_mass_failure
 from tideusher.core.lead.cluster import Cluster
 from tideusher.core.model.records import BOOTING, JOB_CANCELLED, JOB_DONE, NO_CAPACITY, SEEN, Job
 from tideusher.wire.arrays import parse_indexes
@@ -84,7 +84,7 @@
     if job.status == JOB_DONE:
         return ["It is done."]
     reasons = _blocks(cluster, job)
-    mass_failure = cluster.recovery.fall_of(job)
+    mass_failure = cluster.recovery.mass_failure_of(job)
     if mass_failure is not None:
         reasons.append(
             f"Fall {mass_failure.name}, in which {mass_failure.machines} machines of {mass_failure.zone} went silent, took "
@@ -152,7 +152,7 @@
     for mass_failure in reversed(cluster.recovery.falls.values()):
         hurt = cluster.recovery.still_waiting(mass_failure)
         waits = {job.spec.id: _still(job) for job in hurt[:MAX_NAMED]}
-        rows.append(told_fall(mass_failure.name, mass_failure.value()) | {"still_waiting": waits})
+        rows.append(describe_mass_failure(mass_failure.name, mass_failure.value()) | {"still_waiting": waits})
     return rows
 
 
--- a/src/tideusher/core/lead/renting.py
+++ b/src/tideusher/core/lead/renting.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import Any, Protocol
 
-from tideusher.core.decide.fleet import Fleet, Wish
+from tideusher.core.decide.fleet import Fleet, PlannedRental
 from tideusher.core.decide.starts import Kind, kind_of
 from tideusher.core.model import keys
 from tideusher.core.model.entries import Effect, Entry
@@ -144,7 +144,7 @@
 
     # ---------------------------------------------------------------- asking
 
-    def rent(self, wish: Wish) -> None:
+    def rent(self, wish: PlannedRental) -> None:
         """Persist the intent; the cloud hears of it after that. The name holds our token: never reused."""
         count = min(MOST_A_RENTAL, wish.count)
         rental = Rental(self._new_name(), wish.type, wish.zone, wish.spot, count)
--- a/src/tideusher/core/lead/reports.py
+++ b/src/tideusher/core/lead/reports.py
@@ -70,7 +70,7 @@
             machine.last_report_us = now_us
             machine.behind_us = (machine.behind_us or now_us) if behind else 0
             machine.closed = (report.session, report.serial)
-        machine.last_contact_us, machine.probes_failed, machine.found = heard_us, 0, ""
+        machine.last_contact_us, machine.probes_failed, machine.probe_result = heard_us, 0, ""
         self._c.health.heard(machine.zone, now_us)
         machine.address = report.address
         self._c.check_kind(machine, Kind(report.type, report.zone, report.spot), "its own report")
@@ -102,8 +102,8 @@
             elif task.sent is not None and task.phase != COMMITTING:
                 lost |= self._absent(task, report, new_session, now_us)
         if heeded:
-            reachability.heeded(machine)
-        elif lost and reachability.missed(machine, self._report_us, now_us):
+            reachability.record_effective_answer(machine)
+        elif lost and reachability.record_ignored_answer(machine, self._report_us, now_us):
             self.move_on(machine, "its machine does not hear what it is told", now_us)
         return [
             command
@@ -129,7 +129,7 @@
         if item.state == workers.ACTIVE and task.running_us is None:
             self._c.running(task, now_us)
             waited_us = self._c.wall_us() - task.job.submitted_us
-            self._c.metrics.waited(task.job.spec.job_class, max(0.0, to_s(waited_us)))
+            self._c.metrics.observe_wait(task.job.spec.job_class, max(0.0, to_s(waited_us)))
 
     def move_on(self, machine: Machine, why: str, now_us: int) -> None:
         """What the worker was not told to start, or surely in vain, may start elsewhere."""
@@ -168,7 +168,7 @@
             if task.running_us is not None:
                 if not job.is_gang:
                     machine.completed(job, now_us - task.running_us)
-                self._c.metrics.ran(job.spec.job_class, to_s(now_us - task.running_us))
+                self._c.metrics.observe_run_time(job.spec.job_class, to_s(now_us - task.running_us))
             self._c.complete(job, task.index)
             self._c.free(task, now_us)
             return
--- a/src/tideusher/core/lead/scheduler.py
+++ b/src/tideusher/core/lead/scheduler.py
@@ -4,14 +4,14 @@
 from dataclasses import dataclass
 
 from tideusher.clock import SECOND_US, to_s, to_us
-from tideusher.core.decide.gang_reservations import Gathering, Request
-from tideusher.core.decide.mass_failures import TAKEN
+from tideusher.core.decide.gang_reservations import GangReservations, Request
+from tideusher.core.decide.mass_failures import HUNG
 from tideusher.core.decide.order import order_jobs, urgency_us
 from tideusher.core.decide.pass_failures import PassFailed
-from tideusher.core.decide.placement import Demand, Room, Shelf
-from tideusher.core.decide.preempt import Offers, Stoppable, choose_room, room_of_halted
-from tideusher.core.decide.recovery import EVERYBODY
-from tideusher.core.decide.refusal_cache import Refusals, rights
+from tideusher.core.decide.placement import Demand, FreeCapacity, PlacementCache
+from tideusher.core.decide.preempt import Offers, PreemptibleTasks, capacity_after_stops, choose_victims
+from tideusher.core.decide.recovery import NO_PRECEDENCE
+from tideusher.core.decide.refusal_cache import RefusalCache, placement_constraints
 from tideusher.core.decide.task_failures import at_fault
 from tideusher.core.lead.cluster import Cluster
 from tideusher.core.model.records import BOOTING, NO_CAPACITY, OPEN, UP, Job, Machine, Task
@@ -51,10 +51,10 @@
     def __init__(self, cluster: Cluster, now_us: int) -> None:
         self._c = cluster
         self._spare_gpus = 0.0
-        self._gathering = Gathering()
-        self._shelf: Shelf | None = None
+        self._gathering = GangReservations()
+        self._shelf: PlacementCache | None = None
         self._place: dict[str, int] = {}  # of each waiting job in the queue
-        self._nothing = Refusals()  # what found no room in this pass
+        self._nothing = RefusalCache()  # what found no room in this pass
         self._opened = 0  # as of which change that may have opened room
         self._favoured: set[str] = set()  # jobs for which machines are kept: they look for themselves
         #: The least that work waits for which runs on ordinary machines only; None: no such work waits.
@@ -91,7 +91,7 @@
         """
         self._c.dirty = False
         for zone, heard, of, waited_us in self._c.truth.step(now_us):
-            self._c.metrics.checked("heard", to_s(waited_us))
+            self._c.metrics.observe_takeover_phase("heard", to_s(waited_us))
             self._c.log.info("check heard: %d of %d machines of %s, after %.1f s", heard, of, zone, to_s(waited_us))
         self._c.limits.step(now_us)
         self._c.recovery.step()
@@ -118,15 +118,18 @@
             lambda job: job.spec.id in within,
             self._c.policy.margin,
             lambda job: urgency_us(job, self._objectives.get(job.spec.job_class), wall_us),
-            self._c.recovery.place,
+            self._c.recovery.precedence,
         )
         recovering = self._c.recovery.waiting() > 0
         fresh_us = to_us(3 * self._c.config.settings.workers.report_s + 1)
-        doubted = self._c.falls.doubted
+        avoid_placement = self._c.falls.avoid_placement
         usable = [
             m
             for m in self._c.machines.values()
-            if _usable(m) and now_us - m.last_report_us < fresh_us and m.free_cpus > 0 and not doubted(m, now_us)
+            if _usable(m)
+            and now_us - m.last_report_us < fresh_us
+            and m.free_cpus > 0
+            and not avoid_placement(m, now_us)
         ]
         used_gpus = sum(usage[1] for usage in self._c.usage.values())
         # While work that a fall took still waits, no room is kept for work that may come.
@@ -134,10 +137,10 @@
         self._place = {job.spec.id: place for place, job in enumerate(queue)}
         least = Demand.least_of(job.spec for job in waiting)
         holding = [m for m in usable if least.fits(m.free_cpus, m.free_gpus, m.free_ram_gb)]
-        room = Room(holding, self._c.policy.placement__parts)
+        room = FreeCapacity(holding, self._c.policy.placement__parts)
         # Nothing but the pass itself changes what is free on own machines while it is made.
         plain = not self._c.rents and not self._gathering.held and not any(m.reserved for m in holding)
-        self._shelf = Shelf(holding, self._c.policy.placement__parts) if plain else None
+        self._shelf = PlacementCache(holding, self._c.policy.placement__parts) if plain else None
         held = self._gathering.held
         self._nothing.clear()
         self._favoured = {m.reserved for m in holding if m.reserved} | {job.spec.id for job in held.values()}
@@ -161,7 +164,7 @@
         self._ordinary_short = Demand.least_of(short) if short else None
         # What is stopped while nothing can be started is stopped for nobody; what is stopped before the fleet
         # is heard again makes room that is there already.
-        if self._c.writable and self._c.truth.whole():
+        if self._c.writable and self._c.truth.all_zones_ready():
             self._preempt(unplaced, now_us)
         yield
         unplaced = _still_wait(unplaced)
@@ -175,7 +178,7 @@
             lambda job: max(0, wall_us - job.submitted_us - patience_us),
             now_us,
             # One that is silent or mute would be held, and the gang would wait for it.
-            lambda m: m.phase == BOOTING or (now_us - m.last_report_us < fresh_us and not doubted(m, now_us)),
+            lambda m: m.phase == BOOTING or (now_us - m.last_report_us < fresh_us and not avoid_placement(m, now_us)),
         )
         yield
         requests = [request for request in requests if request.job.waits]
@@ -220,9 +223,9 @@
             room.append(int((team.gpus_max - usage[1] + 1e-6) / job.spec.gpus))
         return max(0, min(room))
 
-    def _place_or_fail(self, job: Job, room: Room, now_us: int) -> tuple[int, bool]:
+    def _place_or_fail(self, job: Job, room: FreeCapacity, now_us: int) -> tuple[int, bool]:
         """`_place_job` for all but jobs that are set aside; raises PassFailed, which names the job, for any error."""
-        if self._c.failures.set_aside(job.spec.id, now_us):
+        if self._c.failures.is_quarantined(job.spec.id, now_us):
             job.waiting_reason = SET_ASIDE
             return 0, False
         try:
@@ -230,7 +233,7 @@
         except Exception as error:
             raise PassFailed(job.spec.id) from error
 
-    def _place_job(self, job: Job, room: Room, now_us: int) -> tuple[int, bool]:
+    def _place_job(self, job: Job, room: FreeCapacity, now_us: int) -> tuple[int, bool]:
         """Place what can be placed of a job; returns how many more tasks wait for a machine, and if it looked."""
         count = self._startable(job, now_us)
         if not count:
@@ -292,7 +295,9 @@
         # Tasks without a card would take the CPUs beside free cards, and leave the warm room in name only: a guest's
         # thousands of small ones did. Beside cards in use they find room enough.
         beside = not spec.gpus and bool(self._c.fleet.warm) and not self._c.fleet.is_warm(spec.job_class)
-        return _Terms((rights(spec), spec.image, beside, enough, short is None), avoid, enough, short, beside)
+        return _Terms(
+            (placement_constraints(spec), spec.image, beside, enough, short is None), avoid, enough, short, beside
+        )
 
     def _free_to(self, job: Job, terms: _Terms) -> Callable[[Machine], bool]:
         """May the job's tasks be placed on a machine, if they fit there? Asked of most machines for each job."""
@@ -313,7 +318,7 @@
 
         return free_to_it
 
-    def _place_tasks(self, job: Job, count: int, terms: _Terms, room: Room, now_us: int) -> int:
+    def _place_tasks(self, job: Job, count: int, terms: _Terms, room: FreeCapacity, now_us: int) -> int:
         """Give up to so many tasks their places; returns how many have one now."""
         spec, limit, before = job.spec, job.zone_limit, 0
         free_to_it = self._free_to(job, terms)
@@ -345,13 +350,15 @@
         if not unplaced:
             return
         stops = 0
-        doubted = self._c.falls.doubted
-        usable = [m for m in self._c.machines.values() if _usable(m) and not doubted(m, now_us)]
-        coming_free = room_of_halted(usable)
+        avoid_placement = self._c.falls.avoid_placement
+        usable = [m for m in self._c.machines.values() if _usable(m) and not avoid_placement(m, now_us)]
+        coming_free = capacity_after_stops(usable)
         coming = sum(
             m.free_gpus for m in self._c.machines.values() if m.phase == BOOTING and not m.drain_reason and not m.spot
         )
-        stoppable = Stoppable(self._c.active.values(), self._c.standing, self._c.min_run_us, self._c.policy, now_us)
+        stoppable = PreemptibleTasks(
+            self._c.active.values(), self._c.standing, self._c.min_run_us, self._c.policy, now_us
+        )
 
         def lost_us(task: Task) -> int:
             if task.running_us is None or task.job.is_service:
@@ -359,7 +366,7 @@
             spent = now_us - task.running_us
             return min(spent, to_us(task.job.spec.save_s)) if task.job.spec.checkpoint_s else spent
 
-        offers, nothing = Offers(lost_us), Refusals()
+        offers, nothing = Offers(lost_us), RefusalCache()
         # What is held for a gang is no room for others' stops: machines that had been emptied for it were kept for
         # one after the other of them, and stood idle.
         held = self._gathering.held
@@ -373,17 +380,17 @@
                 continue
             need = job.spec.gpus * count
             # What a fall took from critical work does not wait for a boot while others have room.
-            if coming >= need > 0 and self._c.recovery.place(job) == EVERYBODY:
+            if coming >= need > 0 and self._c.recovery.precedence(job) == NO_PRECEDENCE:
                 coming -= need  # booting room holds it
                 continue
             victims = stoppable.of(job, self._c.standing(job.spec.team, job.spec))
             own = job.spec.id
-            asks, whole = (rights(job.spec), id(victims)), count if job.is_gang else 1
+            asks, whole = (placement_constraints(job.spec), id(victims)), count if job.is_gang else 1
             if own not in reserved and nothing.refuses(asks, job.spec, whole):
                 continue
             theirs = [m for m in kept if self._gathering.may_use(job, m, self._place)]
             free_for = free + theirs + ([m for m in usable if m.reserved == own] if own in reserved else [])
-            machines, stopped = choose_room(job, count, free_for, coming_free, victims, offers)
+            machines, stopped = choose_victims(job, count, free_for, coming_free, victims, offers)
             if machines or stopped:
                 nothing.clear()
             elif not job.live:
@@ -418,7 +425,7 @@
         and for one machine in MOVE_ONE_OF at a time: what a move costs is a share of all replicas,
         and one machine at a time would never empty a large fleet.
         """
-        if now_us < self._next_move_us or not self._c.settled(now_us) or not self._c.truth.whole():
+        if now_us < self._next_move_us or not self._c.settled(now_us) or not self._c.truth.all_zones_ready():
             return
         if self._c.write_queue.waiting > self._c.config.settings.state.txn_ops:
             return  # moves would wait for their write
@@ -491,7 +498,7 @@
         # half a minute late when a whole fleet was wanted; what has to wait is asked for in one.
         room = max(2, int(self._c.config.settings.cloud.rps)) - len(asked)
         if room > 0:
-            doubted = self._c.falls.doubted
+            avoid_placement = self._c.falls.avoid_placement
             # No room is soon to come of a machine that is silent, unless it hangs: those mostly go on before
             # one rented in their place would be up.
             # Nor of one that others overtook while it boots.
@@ -499,7 +506,7 @@
             machines = [
                 m
                 for m in self._not_held()
-                if not late(m, now_us) and (m.phase != UP or m.found == TAKEN or not doubted(m, now_us))
+                if not late(m, now_us) and (m.phase != UP or m.probe_result == HUNG or not avoid_placement(m, now_us))
             ]
             for wish in self._c.fleet.plan(now_us, requests, machines, asked)[:room]:
                 self._c.renting.rent(wish)
@@ -511,7 +518,7 @@
             if machine.drain_reason == MOVED and machine.phase == UP and not machine.tasks:
                 self._c.give_back(machine, MOVED)
         for machine, reason in self._c.fleet.surplus(now_us, self._not_held()):
-            if self._c.truth.of(machine.zone):
+            if self._c.truth.zone_ready(machine.zone):
                 self._c.give_back(machine, reason)
 
     def _not_held(self) -> list[Machine]:
--- a/src/tideusher/core/lead/soft_state.py
+++ b/src/tideusher/core/lead/soft_state.py
@@ -18,7 +18,7 @@
 MOST_AGE_US = 20 * SECOND_US
 
 
-def tell(engine: Engine, now_us: int) -> Soft:
+def collect(engine: Engine, now_us: int) -> Soft:
     """All that the next leader could not read anywhere."""
     cluster = engine.cluster
     reserved = [
@@ -53,7 +53,7 @@
     return old if old is not None and soft.token < old.soft.token else Told(soft, now_us)
 
 
-def refusal(told: Told | None, predecessor: int | None, now_us: int) -> str:
+def reason_unusable(told: Told | None, predecessor: int | None, now_us: int) -> str:
     """Why these soft facts may not be used; empty: they may."""
     if told is None:
         return "nobody told any"
@@ -72,7 +72,7 @@
             machine.seen_us, machine.address = seen[0], machine.address or seen[1]
 
 
-def take(engine: Engine, told: Told, now_us: int) -> int:
+def restore(engine: Engine, told: Told, now_us: int) -> int:
     """Use them; returns how many. What has run out since it was told is left out."""
     cluster, used = engine.cluster, 0
     since_us = now_us - told.at_us
--- a/src/tideusher/core/model/records.py
+++ b/src/tideusher/core/model/records.py
@@ -107,8 +107,8 @@
     start_after_us: int = 0  # time of day before which nothing of it starts; 0: there is none, or it has come
     unmet: tuple[tuple[str, str], ...] = ()  # (kind, job) it still waits for
     was_blocked: bool = False  # was it ever kept from passes?
-    ran: bool = False  # has this leader been told of a task of it that runs?
-    whole: bool = False  # did all its tasks begin to run, as far as this leader was told?
+    seen_running: bool = False  # has this leader been told of a task of it that runs?
+    all_started: bool = False  # did all its tasks begin to run, as far as this leader was told?
     why: str = ""  # why the service ended it
 
     @property
@@ -335,8 +335,8 @@
     serial: int = 0
     #: (session, serial) of the newest report that it sent by itself: answers to earlier ones do nothing any more.
     closed: tuple[int, int] = (0, 0)
-    missed: int = 0  # answers in a row that had no effect
-    missed_us: int = 0  # when the last of these was found
+    ignored_answers: int = 0  # answers in a row that had no effect
+    ignored_answer_us: int = 0  # when the last of these was found
     unresponsive_until_us: int = 0  # nothing is placed there until then
     behind_us: int = 0  # since when its reports show an older token although we answered; 0: they do not
     last_contact_us: int = 0  # when it was heard last, by a report or in a direct answer
@@ -349,7 +349,7 @@
     failures_by_job: dict[str, int] = field(default_factory=dict)  # failures here by job, since a task was last done
     suspect_since_us: int = 0  # since when it may be at fault for what failed here; 0: it is not
     probes_failed: int = 0
-    found: str = ""  # what the last call to it found, while it is silent
+    probe_result: str = ""  # what the last call to it found, while it is silent
     last_probe_us: int = 0  # when it was last called
     mass_failure: str = ""  # the fall that took it
     relative_runtime: float = 1.0  # run times here over those of the same jobs elsewhere, smoothed
--- a/tests/region.py
+++ b/tests/region.py
@@ -115,7 +115,7 @@
             self.written += len(batch.writes)
             revision = self.state.txn(batch.guards, batch.writes)
             assert revision is not None
-            self.cluster.write_queue.saved(revision)
+            self.cluster.write_queue.batch_committed(revision)
 
     def _whole(self, task):
         ready = {
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -247,7 +247,7 @@
             if self.state.stamp_of(keys.LEADER) == cluster.token:
                 cluster.write_queue.not_saved(self.state.stamp_of, unknown=revision is not None)
             return
-        cluster.write_queue.saved(revision)
+        cluster.write_queue.batch_committed(revision)
 
     def _cloud(self, now: int) -> None:
         for cluster in self.leaders[-2:]:
@@ -352,7 +352,7 @@
                 return
             revision = self.state.txn(batch.guards, batch.writes)
             if revision is not None:
-                self.cluster.write_queue.saved(revision)
+                self.cluster.write_queue.batch_committed(revision)
                 continue
             if self.state.stamp_of(keys.LEADER) != self.cluster.token:
                 return
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -245,7 +245,7 @@
     now_us = 50 * SECOND_US
     told = soft_state.newer(None, Soft(41), now_us)
     assert soft_state.newer(told, Soft(40), now_us) is told  # a former life's line that comes late
-    assert soft_state.refusal(told, 43, now_us) and not soft_state.refusal(told, 41, now_us)
+    assert soft_state.reason_unusable(told, 43, now_us) and not soft_state.reason_unusable(told, 41, now_us)
 
 
 # ---------------------------------------------------------------- standing still
@@ -257,7 +257,7 @@
     def __init__(self):
         self.told = []
 
-    def gives_way(self):
+    def step_down_reason(self):
         return ""
 
     def stood_still(self, for_us, now_us):
--- a/tests/test_compound_faults.py
+++ b/tests/test_compound_faults.py
@@ -14,7 +14,7 @@
 from tideusher.config import Policy, Resources, StateSettings
 from tideusher.core.decide import reachability
 from tideusher.core.decide.cancellations import TOLD, Cancellations
-from tideusher.core.decide.gang_reservations import NONE, Gathering
+from tideusher.core.decide.gang_reservations import NONE, GangReservations
 from tideusher.core.lead.reports import Reports
 from tideusher.core.lead.scheduler import Scheduler
 from tideusher.core.model import keys
@@ -257,7 +257,7 @@
     heard = {"us": 0}
 
     def due():
-        ask = reachability.unheard(
+        ask = reachability.machines_out_of_contact(
             [machine], 6_000_000, 1_000_000, clock.now_us(), lambda m: 4_000_000, lambda m: heard["us"]
         )
         return [why for _, why in ask]
@@ -605,7 +605,7 @@
         Machine(name, "m4", zone, False, "r", 16.0, 4.0, 64.0, 0, phase=UP, last_report_us=1) for name, zone in names
     ]
     waits = Job(job("gang", 2, cpus=14.0, one_zone=True), 1, 0, 0)
-    room = Gathering()
+    room = GangReservations()
     for heard, kept in ((lambda m: True, {"a0", "a1"}), (lambda m: m.name not in ("a0", "b1"), {"b0", "b2"})):
         room.update([(waits, 2)], machines, machines, lambda job, zone: NONE, lambda job: 1, 0, heard)
         assert set(room.held) == kept
--- a/tests/test_conditions.py
+++ b/tests/test_conditions.py
@@ -169,7 +169,7 @@
         pass
     for _ in range(30):  # part of the ends is written when the leader dies
         batch = bed.cluster.write_queue.next_batch(8)
-        bed.cluster.write_queue.saved(bed.state.txn(batch.guards, batch.writes))
+        bed.cluster.write_queue.batch_committed(bed.state.txn(batch.guards, batch.writes))
     before = bed.state.tide
     ended = [spec.id for spec in specs if status(bed, spec) == JOB_CANCELLED]
     assert 200 < len(ended) < 300
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,10 +6,10 @@
 from tideusher.clock import SECOND_US
 from tideusher.config import Policy, Team
 from tideusher.core.decide.fleet import Fleet
-from tideusher.core.decide.gang_reservations import BEST, NONE, OTHER, Gathering, Request
+from tideusher.core.decide.gang_reservations import BEST, NONE, OTHER, GangReservations, Request
 from tideusher.core.decide.order import order_jobs
-from tideusher.core.decide.placement import Room, part_of
-from tideusher.core.decide.preempt import Offers, Standing, Stoppable, choose_room, protected_until_us
+from tideusher.core.decide.placement import FreeCapacity, part_of
+from tideusher.core.decide.preempt import Offers, PreemptibleTasks, Standing, choose_victims, protected_until_us
 from tideusher.core.model.ledger import NO_GUARANTEE, Ledger
 from tideusher.core.model.records import SEEN, UP, Job, Machine, Task
 
@@ -106,7 +106,7 @@
     big = [machine(name) for name in names if part_of(name, 2) == 1][:5]
     small = [machine(name) for name in names if part_of(name, 2) == 0][:3]
     machines = [*small, *big]
-    room = Room(machines, 2)
+    room = FreeCapacity(machines, 2)
     gang = Job(job("gang", 2, gpus=4.0), 1, 0, 0)
     assert {m.name for m in room.place(gang, 2, True, lambda m: True, None)} <= {m.name for m in big}
     wide = Job(job("gang", 8, gpus=4.0), 1, 0, 0)
@@ -115,7 +115,7 @@
 
 def test_zones_kinds_and_spread_hold_given_the_jobs_other_tasks():
     machines = [machine("host-1", "a"), machine("host-2", "a", spot=True), machine("host-3", "b")]
-    room = Room(machines, 1)
+    room = FreeCapacity(machines, 1)
     spread = Job(job("service", 4, spread=True), 1, 0, 0)
     chosen = room.place(spread, 4, False, lambda m: True, 2)
     assert sorted(m.zone for m in chosen) == ["a", "a", "b", "b"] and not any(m.spot for m in chosen)
@@ -132,9 +132,9 @@
     busy, free = machine("host-1"), machine("host-2")
     task = running(job("service", image="other"), busy)
     task.running_us, task.state = None, "pulling"
-    chosen = Room([busy, free], 1).place(Job(job("service"), 1, 0, 0), 1, False, lambda m: True, None)
+    chosen = FreeCapacity([busy, free], 1).place(Job(job("service"), 1, 0, 0), 1, False, lambda m: True, None)
     assert [m.name for m in chosen] == ["host-2"]
-    assert Room([busy], 1).place(Job(job("service"), 1, 0, 0), 1, False, lambda m: True, None) == []
+    assert FreeCapacity([busy], 1).place(Job(job("service"), 1, 0, 0), 1, False, lambda m: True, None) == []
 
 
 def test_a_machine_holds_the_images_used_last_as_far_as_its_cache_goes():
@@ -157,7 +157,7 @@
         fair.completed(array, 60 * SECOND_US)
         slow.completed(array, 120 * SECOND_US)
     assert slow.slow and not fair.slow
-    room = Room([slow, fair], 1)
+    room = FreeCapacity([slow, fair], 1)
     assert [m.name for m in room.place(array, 5, False, lambda m: True, None)] == ["host-2"] * 4 + ["host-1"]
     for _ in range(6):
         slow.completed(array, 60 * SECOND_US)
@@ -171,7 +171,7 @@
     def standing(team):
         return Standing(*asking) if team == request.spec.team else Standing(*holding)
 
-    judge = Stoppable([victim.job], standing, min_run, POLICY, now_us)
+    judge = PreemptibleTasks([victim.job], standing, min_run, POLICY, now_us)
     return victim in judge.of(request, standing(request.spec.team))
 
 
@@ -207,10 +207,10 @@
     b.add(second)
     request = Job(job("gang", 1, gpus=4.0, one_zone=True, priority="critical"), 1, 0, 0)
     everything = {*a.tasks.values(), *b.tasks.values()}
-    machines, victims = choose_room(request, 1, [a, b], {}, everything, Offers(lambda t: 0))
+    machines, victims = choose_victims(request, 1, [a, b], {}, everything, Offers(lambda t: 0))
     assert machines == [b] and set(victims) == {first, second}
     # What was stopped for the request already is not stopped for again.
-    assert choose_room(request, 1, [a, b], {"host-2": [16.0, 4.0, 64.0]}, everything, Offers(lambda t: 0))[1] == []
+    assert choose_victims(request, 1, [a, b], {"host-2": [16.0, 4.0, 64.0]}, everything, Offers(lambda t: 0))[1] == []
 
 
 # Gathering
@@ -222,7 +222,7 @@
     running(job("batch", gpus=4.0), busy)
     gang = Job(job("gang", 4, gpus=4.0, one_zone=True), 1, 0, 0)
     second = Job(job("gang", 2, gpus=4.0, one_zone=True), 1, 0, 0)
-    room = Gathering()
+    room = GangReservations()
     requests = room.update([(gang, 4), (second, 2)], [*free, busy], [*free, busy], lambda j, zone: NONE)
     assert {name: holder for name, holder in room.held.items()} == {f"host-{i}": gang for i in range(3)}
     assert [(r.job, r.count, r.zone) for r in requests] == [(gang, 1, "a"), (second, 2, "a")]
--- a/tests/test_failing_messages.py
+++ b/tests/test_failing_messages.py
@@ -136,8 +136,8 @@
 
 def test_inputs_that_fail_are_set_aside_and_many_of_them_are_a_reason_to_leave():
     failures = PassFailures()
-    assert failures.failed(InputFailed("report of host-1"), 0) is Remedy.READ_ANEW
-    assert failures.set_aside("report of host-1", 0) and not failures.set_aside("report of host-2", 0)
+    assert failures.failed(InputFailed("report of host-1"), 0) is Remedy.REBUILD
+    assert failures.is_quarantined("report of host-1", 0) and not failures.is_quarantined("report of host-2", 0)
     told = [failures.failed(InputFailed(f"report of host-{n}"), n) for n in range(2, 1 + MOST)]
-    assert told[-1] is Remedy.GIVE_WAY and set(told[:-1]) <= {Remedy.READ_ANEW}
-    assert not failures.set_aside("report of host-1", FIRST_PAUSE_US)
+    assert told[-1] is Remedy.STEP_DOWN and set(told[:-1]) <= {Remedy.REBUILD}
+    assert not failures.is_quarantined("report of host-1", FIRST_PAUSE_US)
--- a/tests/test_failing_pass.py
+++ b/tests/test_failing_pass.py
@@ -98,15 +98,15 @@
 def test_a_job_is_set_aside_for_twice_as_long_each_time():
     failures, now_us, paused = PassFailures(), 0, []
     for _ in range(10):
-        assert failures.failed(PassFailed("req-1"), now_us) is Remedy.READ_ANEW
-        assert failures.set_aside("req-1", now_us) and not failures.set_aside("req-2", now_us)
+        assert failures.failed(PassFailed("req-1"), now_us) is Remedy.REBUILD
+        assert failures.is_quarantined("req-1", now_us) and not failures.is_quarantined("req-2", now_us)
         paused.append(failures.jobs["req-1"].until_us - now_us)
         now_us = failures.jobs["req-1"].until_us
-        assert not failures.set_aside("req-1", now_us)
+        assert not failures.is_quarantined("req-1", now_us)
     assert paused[:3] == [FIRST_PAUSE_US, 2 * FIRST_PAUSE_US, 4 * FIRST_PAUSE_US] and paused[-1] == LAST_PAUSE_US
 
 
 def test_failures_far_apart_are_no_reason_to_leave():
     failures = PassFailures()
-    assert {failures.failed(KeyError(), n * WINDOW_US) for n in range(9)} == {Remedy.READ_ANEW}
-    assert [failures.failed(KeyError(), 99 * WINDOW_US) for _ in range(MOST)][-1] is Remedy.GIVE_WAY
+    assert {failures.failed(KeyError(), n * WINDOW_US) for n in range(9)} == {Remedy.REBUILD}
+    assert [failures.failed(KeyError(), 99 * WINDOW_US) for _ in range(MOST)][-1] is Remedy.STEP_DOWN
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -10,7 +10,7 @@
 from tideusher.core.decide.gang_reservations import Request
 from tideusher.core.decide.mass_failures import ASKING, FALLEN, SAMPLE, Evidence, judge
 from tideusher.core.decide.mass_failures import CUT as CUT_OFF
-from tideusher.core.decide.recovery import Fall, read_fall
+from tideusher.core.decide.recovery import MassFailure, read_fall
 from tideusher.core.lead.explain import explain_job, mass_failures
 from tideusher.core.model import keys
 
@@ -67,7 +67,7 @@
 def test_a_whole_zone_dies_and_its_controllers_say_so(region):
     region.turn(region.of("a"), DEAD)
     region.run(4)
-    region.cluster.falls.linked = {"a"}
+    region.cluster.falls.controller_only_zones = {"a"}
     region.run(10, lambda: len(region.gone) == 20)
     assert len(region.gone) == 20 and "hears none of its workers" in falls(region.cluster)[0]["evidence"]
 
@@ -90,11 +90,11 @@
     region.run(seconds)
     # At the end of the cut a controller of the zone may be heard before any worker is; what was called in
     # vain during the cut proves nothing then.
-    region.cluster.falls.linked = {"a"}
+    region.cluster.falls.controller_only_zones = {"a"}
     region.run(0.5)
     region.turn(region.of("a"), UP)
     region.run(1)
-    region.cluster.falls.linked = set()
+    region.cluster.falls.controller_only_zones = set()
     region.run(30)
     assert not [name for name in region.gone if name.startswith("host-")] and not falls(region.cluster)
 
@@ -112,7 +112,7 @@
     region.turn(region.of("a"), CUT)
     region.run(12)
     region.cluster.falls._open = Never()
-    region.cluster.falls.linked = {"a"}
+    region.cluster.falls.controller_only_zones = {"a"}
     region.run(0.5)
     assert falls(region.cluster)
 
@@ -122,7 +122,7 @@
     region.run(6)
     calls, names = region.cluster.falls, region.of("a")
     called_us = region.clock.now_us()
-    region.cluster.falls.linked = {"a"}
+    region.cluster.falls.controller_only_zones = {"a"}
     region.run(0.25)
     region.calls.clear()
     for name in names[:10]:
@@ -285,7 +285,7 @@
     region.turn(region.of("a"), DEAD)
     region.run(100)
     assert not region.gone
-    region.cluster.falls.linked = {"a"}
+    region.cluster.falls.controller_only_zones = {"a"}
     region.run(6)
     assert len(region.gone) == 20
 
@@ -468,7 +468,7 @@
 def test_the_largest_record_of_a_fall_stays_within_the_smallest_value_limit():
     jobs = {f"req-{10**18 + n}": 100_000 for n in range(400)}
     at_us = 1_800_000_000_000_000
-    mass_failure = Fall("9" * 12 + "-99", "z" * 30, at_us, at_us, "w" * 200, 600, 40_000_000, jobs)
+    mass_failure = MassFailure("9" * 12 + "-99", "z" * 30, at_us, at_us, "w" * 200, 600, 40_000_000, jobs)
     mass_failure.back = dict.fromkeys(jobs, at_us)
     mass_failure.whole, mass_failure.whole_us = 400, at_us
     assert len(msgspec.json.encode(mass_failure.value())) < 4096
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -90,7 +90,7 @@
     bed.report("host-1", 3, *done)
     first = bed.cluster.write_queue.next_batch(8)
     assert [write.key for write in first.writes] == [keys.chunk_key(spec.id, 0)]
-    bed.cluster.write_queue.saved(bed.state.txn(first.guards, first.writes))
+    bed.cluster.write_queue.batch_committed(bed.state.txn(first.guards, first.writes))
     bed.commit()
     assert bed.state.items[keys.job_key(spec.id)][0]["st"] == JOB_DONE
 
@@ -137,7 +137,7 @@
     bed.report("host-1", 2)
     bed.report("host-1", 3, (f"{spec.id}/0", 1, "exited", "done"))
     chunk = bed.cluster.write_queue.next_batch(8)
-    bed.cluster.write_queue.saved(bed.state.txn(chunk.guards, chunk.writes))
+    bed.cluster.write_queue.batch_committed(bed.state.txn(chunk.guards, chunk.writes))
     bed.state.cancel(spec.id)  # told to its user while `done` is on its way
     bed.commit()
     assert bed.state.items[keys.job_key(spec.id)][0]["st"] == JOB_CANCELLED
@@ -340,7 +340,7 @@
     bed.scheduler.schedule(bed.clock.now_us())
     assert len(placed.live) == 200
     batch = bed.cluster.write_queue.next_batch(2)
-    bed.cluster.write_queue.saved(bed.state.txn(batch.guards, batch.writes))
+    bed.cluster.write_queue.batch_committed(bed.state.txn(batch.guards, batch.writes))
     assert not any(command.op == "run" for command in bed.report("host-1", 2))
     bed.elect()  # the leader ends between the gang's transactions
     assert all(task.halt_grace_s is not None for task in bed.cluster.jobs[spec.id].live.values())
--- a/tests/test_leader_faults.py
+++ b/tests/test_leader_faults.py
@@ -8,7 +8,7 @@
 from tideusher.actors.store import Store
 from tideusher.clock import to_us
 from tideusher.core.decide import bounds, reachability
-from tideusher.core.decide.fleet import Wish
+from tideusher.core.decide.fleet import PlannedRental
 from tideusher.core.lead import explain
 from tideusher.core.lead.cluster import Direct
 from tideusher.core.lead.reports import Reports
@@ -126,9 +126,9 @@
     assert placed.live[0].machine.name == "host-2" and placed.live[0].attempt == 2
     assert ops(bed.report("host-2", 2)) == [("run", f"{spec.id}/0", 2)]
     deaf = bed.cluster.machines["host-1"]
-    assert bed.cluster.falls.doubted(deaf, bed.clock.now_us())
+    assert bed.cluster.falls.avoid_placement(deaf, bed.clock.now_us())
     bed.clock.pass_s(11.0)
-    assert not bed.cluster.falls.doubted(deaf, bed.clock.now_us())
+    assert not bed.cluster.falls.avoid_placement(deaf, bed.clock.now_us())
 
 
 def test_reports_that_a_cut_held_up_and_that_come_at_once_make_no_machine_deaf(bed):
@@ -138,15 +138,15 @@
     for serial in range(2, 12):
         bed.report("host-1", serial)
     machine = bed.cluster.machines["host-1"]
-    assert 0 in placed.live and not reachability.deaf(machine, bed.clock.now_us())
+    assert 0 in placed.live and not reachability.is_unresponsive(machine, bed.clock.now_us())
     bed.elect()
     for serial in range(12, 22):
         bed.report("host-1", serial, token=old)
     machine = bed.cluster.machines["host-1"]
-    assert not reachability.deaf(machine, bed.clock.now_us())
+    assert not reachability.is_unresponsive(machine, bed.clock.now_us())
     bed.clock.pass_s(1.0)
     bed.report("host-1", 22)
-    assert not machine.missed
+    assert not machine.ignored_answers
 
 
 def test_a_machine_deaf_to_the_new_leader_is_returned_once_its_lease_is_over_and_not_before(bed):
@@ -163,14 +163,17 @@
         session = 1 if second < 6 else 2
         listed = [(f"{spec.id}/0", 1, "running", None)] if session == 1 else []
         bed.report("host-1", 10 + second, *listed, session=session, token=old)
-        due = list(reachability.unheard(machines, lease_us, report_us, bed.clock.now_us()))
+        due = list(reachability.machines_out_of_contact(machines, lease_us, report_us, bed.clock.now_us()))
         assert 0 in placed.live and not due, second
         bed.clock.pass_s(1.0)
     bed.report("host-1", 21, session=2, token=old)
-    ((machine, why),) = reachability.unheard(machines, lease_us, report_us, bed.clock.now_us())
+    ((machine, why),) = reachability.machines_out_of_contact(machines, lease_us, report_us, bed.clock.now_us())
     assert machine.name == "host-1" and "no answer" in why
     bed.report("host-1", 22, session=2)  # it heard us after all
-    assert not list(reachability.unheard(machines, lease_us, report_us, bed.clock.now_us())) and 0 not in placed.live
+    assert (
+        not list(reachability.machines_out_of_contact(machines, lease_us, report_us, bed.clock.now_us()))
+        and 0 not in placed.live
+    )
 
 
 # Transactions that are carried out late
@@ -255,7 +258,7 @@
     """It reported before its rental was answered, and its adoption was dropped unwritten: the return was asked for
     with nothing on record."""
     cluster = bed.cluster
-    cluster.renting.rent(Wish("m4", "a", False, 1, "a test"))
+    cluster.renting.rent(PlannedRental("m4", "a", False, 1, "a test"))
     bed.commit()
     (rental,) = cluster.to_rent
     cluster.to_rent.clear()
@@ -265,7 +268,7 @@
     batch = cluster.write_queue.next_batch(8)
     assert not cluster.to_return
     assert bed.state.txn(batch.guards, batch.writes) is not None
-    cluster.write_queue.saved(bed.state.tide)
+    cluster.write_queue.batch_committed(bed.state.tide)
     assert [machine.name for machine in cluster.to_return] == ["host-9"]
     assert bed.state.items[keys.rental_key(rental.name)][0]["returning"] == ["host-9"]
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -7,7 +7,7 @@
 from tideusher.actors.http import CallFailed, HttpClient
 from tideusher.clock import SECOND_US
 from tideusher.config import WorkerSettings
-from tideusher.core.decide.routing import BACK_US, SHUT_US, Directions, Door, Ear
+from tideusher.core.decide.routing import BACK_US, SHUT_US, RedirectPolicy, RedirectTarget, ReportMonitor
 
 SETTINGS = WorkerSettings(2.0, 13.0, 50.0, 5.0, 38.0)
 NODES = ["n0", "n1", "n2"]  # of zones a, a and b; the one that is cut off from workers is the only one of b
@@ -28,7 +28,7 @@
         if self.at in deaf_to_workers:
             self.next_us, self.at = now_us + 5 * SECOND_US, NODES[(NODES.index(self.at) + 1) % 3]
             return
-        other = nodes[self.at].better(self, now_us, nodes)
+        other = nodes[self.at].redirect_target(self, now_us, nodes)
         if other is not None:
             self.next_us, self.at = now_us + SECOND_US // 4, other
             return
@@ -37,14 +37,14 @@
 
 class Node:
     def __init__(self, name):
-        self.name, self.ear, self.directions = name, Ear(SETTINGS), Directions()
+        self.name, self.ear, self.directions = name, ReportMonitor(SETTINGS), RedirectPolicy()
 
-    def better(self, worker, now_us, nodes):
+    def redirect_target(self, worker, now_us, nodes):
         self.ear.heard(now_us)
         if ZONES[self.name] == "b":
             return None
-        doors = [Door(n, ZONES[n], nodes[n].ear.deaf(now_us)) for n in NODES if n != self.name]
-        return self.directions.better(worker.name, "b", doors, now_us)
+        doors = [RedirectTarget(n, ZONES[n], nodes[n].ear.deaf(now_us)) for n in NODES if n != self.name]
+        return self.directions.redirect_target(worker.name, "b", doors, now_us)
 
 
 def longest_silence_s(cut_s, node=Node):
@@ -68,34 +68,34 @@
 
 def test_without_what_nodes_tell_and_remember_leases_would_run_out():
     class Plain(Node):
-        def better(self, worker, now_us, nodes):
+        def redirect_target(self, worker, now_us, nodes):
             return None if ZONES[self.name] == "b" else "n2"
 
     assert longest_silence_s(28, Plain) > SETTINGS.lease_s
 
 
 def test_one_worker_at_a_time_sees_whether_a_shut_node_hears_again():
-    directions, doors, now = Directions(), [Door("n2", "b")], 10 * SECOND_US
-    assert directions.better("host-1", "b", doors, now) == "n2"
-    assert directions.better("host-1", "b", doors, now + SECOND_US) is None  # it came back: shut
-    assert directions.better("host-2", "b", doors, now + 2 * SECOND_US) is None
+    directions, doors, now = RedirectPolicy(), [RedirectTarget("n2", "b")], 10 * SECOND_US
+    assert directions.redirect_target("host-1", "b", doors, now) == "n2"
+    assert directions.redirect_target("host-1", "b", doors, now + SECOND_US) is None  # it came back: shut
+    assert directions.redirect_target("host-2", "b", doors, now + 2 * SECOND_US) is None
     now += SHUT_US + SECOND_US
-    assert directions.better("host-3", "b", doors, now) == "n2"
-    assert directions.better("host-4", "b", doors, now + 1) is None
-    assert directions.better("host-3", "b", doors, now + 5 * SECOND_US) is None  # still not
+    assert directions.redirect_target("host-3", "b", doors, now) == "n2"
+    assert directions.redirect_target("host-4", "b", doors, now + 1) is None
+    assert directions.redirect_target("host-3", "b", doors, now + 5 * SECOND_US) is None  # still not
     now += 2 * SHUT_US + 6 * SECOND_US
-    assert directions.better("host-4", "b", doors, now) == "n2"
-    assert directions.better("host-5", "b", doors, now + BACK_US + 1) == "n2"  # host-4 did not come back
+    assert directions.redirect_target("host-4", "b", doors, now) == "n2"
+    assert directions.redirect_target("host-5", "b", doors, now + BACK_US + 1) == "n2"  # host-4 did not come back
 
 
 def test_workers_are_shared_among_the_controllers_of_their_zone():
-    doors = [Door(f"n{n}", "b" if n < 3 else "a") for n in range(4)]
-    sent = [Directions().better(f"host-{n}", "b", doors, 0) for n in range(300)]
+    doors = [RedirectTarget(f"n{n}", "b" if n < 3 else "a") for n in range(4)]
+    sent = [RedirectPolicy().redirect_target(f"host-{n}", "b", doors, 0) for n in range(300)]
     assert {name: sent.count(name) > 60 for name in sent} == {"n0": True, "n1": True, "n2": True}
 
 
 def test_a_node_without_workers_is_not_deaf_nor_one_whose_workers_are_long_gone():
-    ear = Ear(SETTINGS)
+    ear = ReportMonitor(SETTINGS)
     assert not ear.deaf(100 * SECOND_US)
     for n in range(6):
         ear.heard(n * SECOND_US)
@@ -128,5 +128,5 @@
     assert gateway.handle(report("b")).status == 421
     clock.pass_s(5.0)
     assert gateway.handle(report("b")).status != 421  # it came back
-    link.deaf, gateway._directions = True, Directions()
+    link.deaf, gateway._directions = True, RedirectPolicy()
     assert gateway.handle(report("b")).status != 421
--- a/tests/test_run_time_invariants.py
+++ b/tests/test_run_time_invariants.py
@@ -6,7 +6,7 @@
 
 from standins import job
 from tideusher.actors.leader import Leader
-from tideusher.core.decide.fleet import Wish
+from tideusher.core.decide.fleet import PlannedRental
 from tideusher.core.decide.starts import Kind, Refusal, refusal, zones_of_others
 from tideusher.core.model import keys
 from tideusher.core.model.records import RETURNING, UP, Machine
@@ -43,8 +43,8 @@
         ({"zone": "b"}, {}, Refusal.ZONE),
         ({}, {"spot": True}, Refusal.SPOT),
         ({"spot": True}, {"spot": True}, None),
-        ({}, {"draining": "why"}, Refusal.DRAINING),
-        ({}, {"phase": RETURNING, "draining": "why"}, Refusal.RETURNING),
+        ({}, {"drain_reason": "why"}, Refusal.DRAINING),
+        ({}, {"phase": RETURNING, "drain_reason": "why"}, Refusal.RETURNING),
         ({}, {"phase": "booting"}, Refusal.NOT_UP),
     ],
 )
@@ -144,7 +144,7 @@
 
 
 def ask(bed, spot, zone="a"):
-    bed.cluster.renting.rent(Wish("m4", zone, spot, 1, "a test"))
+    bed.cluster.renting.rent(PlannedRental("m4", zone, spot, 1, "a test"))
     bed.commit()
     (rental,) = bed.cluster.to_rent
     bed.cluster.to_rent.clear()
@@ -166,7 +166,7 @@
 def test_a_rental_on_record_is_not_overwritten_by_another_of_its_name(bed):
     """Both engines begin before either has written."""
     first, second = bed.cluster, second_engine(bed)
-    second.renting.rent(Wish("m4", "a", False, 1, "a test"))
+    second.renting.rent(PlannedRental("m4", "a", False, 1, "a test"))
     rental = ask(bed, spot=True)
     bed.cluster = second
     bed.commit()
@@ -212,10 +212,10 @@
         bed.report(name, 1)
     bed.commit()
     fallen = [(bed.cluster.machines[name], "silent") for name in names[:3]]
-    bed.cluster.recovery.fell("a", fallen, bed.clock.now_us())
+    bed.cluster.recovery.return_failed("a", fallen, bed.clock.now_us())
     bed.commit()
     bed.cluster = second_engine(bed)
-    bed.cluster.recovery.fell("b", [(bed.cluster.machines[names[3]], "silent")], bed.clock.now_us())
+    bed.cluster.recovery.return_failed("b", [(bed.cluster.machines[names[3]], "silent")], bed.clock.now_us())
     bed.commit()
     assert broken(bed.cluster) == {Rule.FALL_NAME: 1}
     returning = {name for name, machine in bed.elect().machines.items() if machine.phase == RETURNING}
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,9 +13,9 @@
 from tideusher.core.decide import gang_reservations, preempt
 from tideusher.core.decide.fleet import Bin, Bins, Fleet
 from tideusher.core.decide.mass_failures import SAMPLE
-from tideusher.core.decide.placement import Demand, Room, Shelf, slots_in
-from tideusher.core.decide.preempt import Offers, Standing, Stoppable, choose_room, protected_until_us
-from tideusher.core.decide.refusal_cache import Refusals
+from tideusher.core.decide.placement import Demand, FreeCapacity, PlacementCache, slots_in
+from tideusher.core.decide.preempt import Offers, PreemptibleTasks, Standing, choose_victims, protected_until_us
+from tideusher.core.decide.refusal_cache import RefusalCache
 from tideusher.core.lead import scheduler
 from tideusher.core.model import keys
 from tideusher.core.model.job_record import MAX_STOPS_KEPT
@@ -122,7 +122,7 @@
     machines, jobs = fleet_of(rng, 40)
     standings = {team: Standing(rng.random(), rng.random() < 0.5) for team in ("red", "blue", "poor")}
     now_us = 20 * SECOND_US
-    judge = Stoppable(jobs, standings.__getitem__, minimum, POLICY, now_us)
+    judge = PreemptibleTasks(jobs, standings.__getitem__, minimum, POLICY, now_us)
     offers = Offers(lambda t: 0)
     for team, again in [(team, again) for again in range(2) for team in standings]:
         spec = job("service", 4, team=team, priority="urgent", gpus=float(rng.choice([1, 2, 4])), estimate_s=0.0)
@@ -138,7 +138,7 @@
             )
         }
         assert victims == gangs_whole
-        got = choose_room(request, 4, machines, {}, victims, offers)
+        got = choose_victims(request, 4, machines, {}, victims, offers)
         want = plainly_chosen(request, 4, machines, gangs_whole.__contains__)
         assert ([m.name for m in got[0]], got[1]) == ([m.name for m in want[0]], want[1])
         for task in got[1] if again else ():
@@ -158,7 +158,7 @@
         return minimum(one)
 
     standing = {"red": Standing(0.1, True), "blue": Standing(0.9, False), "poor": Standing(0.9, False)}
-    judge = Stoppable(jobs, standing.__getitem__, counted, POLICY, 20 * SECOND_US)
+    judge = PreemptibleTasks(jobs, standing.__getitem__, counted, POLICY, 20 * SECOND_US)
     requests = [Job(job("service", 1, priority="urgent", estimate_s=0.0), 1, 0, 0) for _ in range(50)]
     # Half of them stand a little differently, and may claim the same.
     asking = [Standing(0.1 + 0.01 * (number % 2), True) for number in range(50)]
@@ -173,7 +173,7 @@
     once = preempt._on_machine
     monkeypatch.setattr(preempt, "_on_machine", lambda *args: looked.append(args[1].name) or once(*args))
     offers = Offers(lambda t: 0)
-    chosen = [choose_room(request, 1, machines, {}, found[0], offers) for request in requests]
+    chosen = [choose_victims(request, 1, machines, {}, found[0], offers) for request in requests]
     names = [([m.name for m in room], [t.name for t in stopped]) for room, stopped in chosen]
     assert names[0][1] and names.count(names[0]) == len(requests)
     holding = {task.machine.name for task in found[0]}
@@ -281,7 +281,7 @@
         assert len(msgspec.json.encode(Txn(batch.guards, batch.writes))) <= 64 * 1024
         revision = bed.state.txn(batch.guards, batch.writes)
         assert revision is not None
-        cluster.write_queue.saved(revision)
+        cluster.write_queue.batch_committed(revision)
         written += [write.key for write in batch.writes]
     assert sum(key.startswith(keys.CHUNK_PREFIX) for key in written) == ops + 1
 
@@ -327,7 +327,9 @@
     once_idle = gang_reservations._once_idle
     monkeypatch.setattr(gang_reservations, "_once_idle", lambda m, j: looks.append(m.name) or once_idle(m, j))
     gangs = [(Job(job("gang", 8, gpus=4.0, cpus=12.0, one_zone=True), 1, 0, 0), 8) for _ in range(10)]
-    requests = gang_reservations.Gathering().update(gangs, machines, machines, lambda j, zone: gang_reservations.NONE)
+    requests = gang_reservations.GangReservations().update(
+        gangs, machines, machines, lambda j, zone: gang_reservations.NONE
+    )
     assert [request.job for request in requests] == [gang for gang, _ in gangs]
     assert 0 < len(looks) <= len(machines)
 
@@ -384,7 +386,7 @@
         bed = waiting_bed(seed)
         with monkeypatch.context() as patch:
             if plain:
-                patch.setattr(Refusals, "refuses", lambda self, kind, spec, count: False)
+                patch.setattr(RefusalCache, "refuses", lambda self, kind, spec, count: False)
             out = []
             for _ in range(4):
                 bed.scheduler.schedule(bed.clock.now_us())
@@ -405,8 +407,8 @@
         bed.submit(job("service", 1, cpus=16.0, gpus=3.0, team="poor", priority="critical"))
     bed.scheduler.schedule(bed.clock.now_us())
     looks = []
-    place = Room.place
-    monkeypatch.setattr(Room, "place", lambda room, *more: looks.append(1) or place(room, *more))
+    place = FreeCapacity.place
+    monkeypatch.setattr(FreeCapacity, "place", lambda room, *more: looks.append(1) or place(room, *more))
     pieces = sum(1 for _ in bed.scheduler.pieces(bed.clock.now_us()))
     assert len(looks) <= 2 and sum(one.waits for one in bed.cluster.active.values()) == 580
     assert bed.scheduler.rest_us(pieces) == 580 * scheduler.REST_JOB_US  # at most a tenth of a second for as many
@@ -422,14 +424,14 @@
     """A whole pass once held a leader of 570 machines for 0.1 s, in which it served nobody."""
     bed = waiting_bed(7)
     looks = 0
-    place = Room.place
+    place = FreeCapacity.place
 
     def counted(room, *arguments):
         nonlocal looks
         looks += len(room._all)
         return place(room, *arguments)
 
-    monkeypatch.setattr(Room, "place", counted)
+    monkeypatch.setattr(FreeCapacity, "place", counted)
     monkeypatch.setattr(scheduler, "PIECE_LOOKS", 100)
     most = before = 0
     for _ in bed.scheduler.pieces(bed.clock.now_us()):
@@ -537,7 +539,7 @@
         one.images["img-1"] = 2.0
         one.relative_runtime = rng.choice([1.0, 1.0, 2.0])
     parts = rng.choice([1, 2, 5])
-    room, shelf = Room(machines, parts), Shelf(machines, parts)
+    room, shelf = FreeCapacity(machines, parts), PlacementCache(machines, parts)
     plain = 0
     for _ in range(80):
         fields = {
--- a/tests/test_shared_records.py
+++ b/tests/test_shared_records.py
@@ -13,7 +13,7 @@
 from test_standby import Follower, Node, rebuilt
 from test_storm import random_job
 from tideusher.config import Policy, StateSettings, Team
-from tideusher.core.decide.succession import Standing, all_read, cannot_read
+from tideusher.core.decide.succession import Standing, all_read_pages, leader_cannot_read_pages
 from tideusher.core.lead.cluster import Cluster
 from tideusher.core.lead.scheduler import Scheduler
 from tideusher.core.lead.standby import PIECE
@@ -375,7 +375,7 @@
     while (batch := next_batch(bed)) is not None:
         assert len(batch.guards) <= 32
         newly = {name for name, _ in on_record(bed.state)}
-        bed.cluster.write_queue.saved(bed.state.txn(batch.guards, batch.writes))
+        bed.cluster.write_queue.batch_committed(bed.state.txn(batch.guards, batch.writes))
         for name in {name for name, _ in on_record(bed.state)} - newly:
             assert keys.job_key(name) in {guard.key for guard in batch.guards}
         sizes.append(len(batch.entries))
@@ -427,7 +427,7 @@
         batch = next_batch(bed)
         assert any(isinstance(write, Delete) for write in batch.writes) or keys.FENCE in {w.key for w in batch.writes}
         assert len(batch.writes) <= 8
-        bed.cluster.write_queue.saved(bed.state.txn(batch.guards, batch.writes))
+        bed.cluster.write_queue.batch_committed(bed.state.txn(batch.guards, batch.writes))
     last = next_batch(bed)
     if applied:
         assert bed.state.txn(last.guards, last.writes) is not None
@@ -449,7 +449,7 @@
     assert len(gang.live) == 150
     while (batch := next_batch(bed, 1)) is not None:
         assert bed.state.txn(batch.guards, batch.writes) is not None
-        bed.cluster.write_queue.saved(bed.state.tide)
+        bed.cluster.write_queue.batch_committed(bed.state.tide)
         records = [key for key in bed.state.items if key.startswith(keys.CHUNK_PREFIX)]
         if len(records) == 2:
             break
@@ -625,19 +625,19 @@
         machine.phase, machine.last_report_us, machine.last_contact_us = UP, bed.clock.now_us(), bed.clock.now_us()
     Scheduler(old, bed.clock.now_us()).schedule(bed.clock.now_us())
     while (batch := old.write_queue.next_batch(8)) is not None:
-        old.write_queue.saved(bed.state.txn(batch.guards, batch.writes))
+        old.write_queue.batch_committed(bed.state.txn(batch.guards, batch.writes))
     assert any(len(places) > 1 for places in on_record(bed.state).values())
 
 
 def test_pages_are_written_once_all_were_heard_to_read_them_and_until_one_is_heard_that_does_not():
     reads = [Standing(f"n{n}", "a", True, reads_pages=True) for n in (1, 2)]
     old = Standing("n2", "a", True)
-    assert all_read(2, reads, False) and all_read(0, [], False)
-    assert not all_read(2, reads[:1], False)  # one was not heard yet
-    assert all_read(2, reads[:1], True)  # it was before, and is away
-    assert not all_read(2, [reads[0], old], True)
-    assert cannot_read("n2", [reads[0], old]) and not cannot_read("n1", [reads[0], old])
-    assert not cannot_read("n3", [reads[0], old])  # nobody heard it: its lease will tell
+    assert all_read_pages(2, reads, False) and all_read_pages(0, [], False)
+    assert not all_read_pages(2, reads[:1], False)  # one was not heard yet
+    assert all_read_pages(2, reads[:1], True)  # it was before, and is away
+    assert not all_read_pages(2, [reads[0], old], True)
+    assert leader_cannot_read_pages("n2", [reads[0], old]) and not leader_cannot_read_pages("n1", [reads[0], old])
+    assert not leader_cannot_read_pages("n3", [reads[0], old])  # nobody heard it: its lease will tell
 
 
 def test_the_fence_is_closed_before_or_with_the_first_page():
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -12,8 +12,17 @@
 from tideusher.clock import SECOND_US
 from tideusher.config import Policy
 from tideusher.core.decide import succession
-from tideusher.core.decide.succession import DAMP_US, Lag, Reign, Standing, deposes, gives_way, line, waits_us
-from tideusher.core.decide.takeover_readiness import Truth
+from tideusher.core.decide.succession import (
+    DAMP_US,
+    Leadership,
+    Standing,
+    TimerLag,
+    election_delay_us,
+    step_down_reason,
+    succession_order,
+    takeover_reason,
+)
+from tideusher.core.decide.takeover_readiness import TakeoverReadiness
 from tideusher.core.lead import soft_state
 from tideusher.core.lead.engine import Engine
 from tideusher.core.lead.soft_state import Told, newer, refusal, take, tell
@@ -36,10 +45,10 @@
 
 def test_all_know_the_same_line_and_nobody_stands_with_another():
     nodes = seven()
-    delays = {one.node: waits_us(one, [o for o in nodes if o is not one], 41) for one in nodes}
+    delays = {one.node: election_delay_us(one, [o for o in nodes if o is not one], 41) for one in nodes}
     assert sorted(delays.values()) == [n * succession.STEP_US for n in range(6)]
-    assert [name for name, _ in sorted(delays.items(), key=lambda item: item[1])] == line(nodes, 41)
-    assert len({line(nodes, token)[0] for token in range(40, 60)}) > 2  # not always the same one
+    assert [name for name, _ in sorted(delays.items(), key=lambda item: item[1])] == succession_order(nodes, 41)
+    assert len({succession_order(nodes, token)[0] for token in range(40, 60)}) > 2  # not always the same one
 
 
 @pytest.mark.parametrize(
@@ -47,30 +56,30 @@
 )
 def test_a_node_that_is_deaf_cold_or_slow_is_not_first(flaw):
     nodes = seven()
-    first = line(nodes, 41)[0]
+    first = succession_order(nodes, 41)[0]
     worse = [but(one, **flaw) if one.node == first else one for one in nodes]
-    assert line(worse, 41)[-1] == first and line(worse, 41)[0] != first
+    assert succession_order(worse, 41)[-1] == first and succession_order(worse, 41)[0] != first
     cut = [but(one, in_contact=False) if one.node == first else one for one in nodes]
-    assert first not in line(cut, 41)
+    assert first not in succession_order(cut, 41)
 
 
 def but(one, **fields):
     return Standing(**{**{name: getattr(one, name) for name in Standing.__slots__}, **fields})
 
 
-def who_deposes(nodes, reign=None, size=7, now_us=60 * SECOND_US, hears=lambda a, b: True):
-    out, reign = [], reign or Reign("n0", 41, 0, 0)
+def who_deposes(nodes, leadership=None, size=7, now_us=60 * SECOND_US, hears=lambda a, b: True):
+    out, leadership = [], leadership or Leadership("n0", 41, 0, 0)
     for one in nodes:
         others = [other for other in nodes if other is not one and hears(one.node, other.node)]
-        if deposes(reign, one, others, size, now_us):
+        if takeover_reason(leadership, one, others, size, now_us):
             out.append(one.node)
     return out
 
 
 def test_the_first_in_line_alone_takes_over_from_one_that_ended():
     nodes = seven(**{f"n{n}": 41 for n in range(1, 7)})
-    assert who_deposes(nodes) == [line(nodes, 41)[0]]
-    assert who_deposes(nodes, reign=Reign("n0", 50, 0, 0)) == []  # what they lost is an older leader
+    assert who_deposes(nodes) == [succession_order(nodes, 41)[0]]
+    assert who_deposes(nodes, leadership=Leadership("n0", 50, 0, 0)) == []  # what they lost is an older leader
 
 
 @pytest.mark.parametrize(
@@ -88,16 +97,16 @@
 
 def test_the_leader_and_the_next_in_line_are_killed_together():
     everybody = seven(**{f"n{n}": 41 for n in range(1, 7)})
-    rest = [one for one in everybody if one.node != line(everybody, 41)[0]]
-    assert who_deposes(rest) == [line(rest, 41)[0]]
+    rest = [one for one in everybody if one.node != succession_order(everybody, 41)[0]]
+    assert who_deposes(rest) == [succession_order(rest, 41)[0]]
     alone = [Standing("n2", "b", True, behind=0, lost=41)]  # of three: one is left, and waits for the lease
-    assert who_deposes(alone, size=3) == [] and waits_us(alone[0], [], 41) == 0
+    assert who_deposes(alone, size=3) == [] and election_delay_us(alone[0], [], 41) == 0
 
 
 def test_one_that_is_cut_off_from_the_state_service_neither_takes_over_nor_counts():
     two = [Standing("n1", "a", True, behind=0, lost=41), Standing("n2", "b", False, behind=0, lost=41)]
-    assert who_deposes(two, size=3) == [] and line(two, 41) == ["n1"]
-    assert waits_us(two[1], [two[0]], 41) > 0
+    assert who_deposes(two, size=3) == [] and succession_order(two, 41) == ["n1"]
+    assert election_delay_us(two[1], [two[0]], 41) > 0
 
 
 def test_evidence_comes_from_several_zones_where_there_are_several():
@@ -128,13 +137,13 @@
 
 def test_leaders_do_not_flap_on_evidence():
     """A filter that comes and goes once made leaders change at each of its turns: now the pauses double."""
-    reign, changes, now_us = Reign("n0", 41, 0, 0), 0, 0
+    leadership, changes, now_us = Leadership("n0", 41, 0, 0), 0, 0
     for _ in range(600):  # ten minutes in which the leader, whoever it is, is refused all the time
         now_us += SECOND_US
-        nodes = [but(one, lost=reign.token) for one in seven()]
-        if who_deposes(nodes, reign, now_us=now_us):
+        nodes = [but(one, lost=leadership.token) for one in seven()]
+        if who_deposes(nodes, leadership, now_us=now_us):
             changes += 1
-            reign = Reign("n0", reign.token + 1, now_us, succession.early_after(reign, now_us))
+            leadership = Leadership("n0", leadership.token + 1, now_us, succession.early_after(leadership, now_us))
     assert 3 <= changes <= 8 and DAMP_US == 10 * SECOND_US
 
 
@@ -142,10 +151,10 @@
     slow = Standing("n0", "a", True, behind=0, lag_us=2 * SECOND_US)
     fast = Standing("n1", "b", True, behind=0, lag_us=1000)
     loaded = Standing("n2", "c", True, behind=0, lag_us=SECOND_US)
-    assert gives_way(slow, [fast], 60 * SECOND_US) and not gives_way(slow, [loaded], 60 * SECOND_US)
-    assert not gives_way(slow, [fast], 5 * SECOND_US) and not gives_way(slow, [], 60 * SECOND_US)
-    assert not gives_way(slow, [but(fast, behind=None)], 60 * SECOND_US)  # nobody warm
-    lag = Lag(150_000)
+    assert step_down_reason(slow, [fast], 60 * SECOND_US) and not step_down_reason(slow, [loaded], 60 * SECOND_US)
+    assert not step_down_reason(slow, [fast], 5 * SECOND_US) and not step_down_reason(slow, [], 60 * SECOND_US)
+    assert not step_down_reason(slow, [but(fast, behind=None)], 60 * SECOND_US)  # nobody warm
+    lag = TimerLag(150_000)
     for number in range(100):
         lag.fired(number * 150_000)
     assert lag.us == 0
@@ -212,7 +221,7 @@
     made = election(store, clock, ours=ours, others=[Standing("n2", "a", True, behind=0, lost=0)])
     made._another_leads(store.mirror[keys.LEADER])
     assert made.token is None  # alone in saying so
-    first = "n1" if line([ours, Standing("n2", "a", True, behind=0)], token)[0] == "n1" else "n2"
+    first = "n1" if succession_order([ours, Standing("n2", "a", True, behind=0)], token)[0] == "n1" else "n2"
     agree = [Standing("n2", "a", True, behind=0 if first == "n1" else None, lost=token)]
     made = election(store, clock, ours=ours, others=agree)
     made._another_leads(store.mirror[keys.LEADER])
@@ -441,7 +450,7 @@
 
 
 def test_a_decision_before_the_check_would_stop_work(controllers, monkeypatch):
-    monkeypatch.setattr(Truth, "whole", lambda self: True)  # planted
+    monkeypatch.setattr(TakeoverReadiness, "whole", lambda self: True)  # planted
     assert full_fleet(controllers) > 0
 
 
--- a/tests/test_two_rentals.py
+++ b/tests/test_two_rentals.py
@@ -118,7 +118,7 @@
             batch = bed.cluster.write_queue.next_batch(1)
             if batch is None:
                 break
-            bed.cluster.write_queue.saved(bed.state.txn(batch.guards, batch.writes))
+            bed.cluster.write_queue.batch_committed(bed.state.txn(batch.guards, batch.writes))
         else:
             batch = True
         bed.elect()
@@ -137,7 +137,7 @@
     bed.elect()
     bed.report("host-1", 1)
     fallen = [(bed.cluster.machines[name], "silent") for name in ("host-1", "host-3")]
-    bed.cluster.recovery.fell("a", fallen, bed.clock.now_us())
+    bed.cluster.recovery.return_failed("a", fallen, bed.clock.now_us())
     names = returns(bed)
     assert sorted(names) == ["host-1", "host-3"]
     bed.cluster.returned(["host-1"], bed.clock.now_us())
@@ -164,7 +164,7 @@
         bed.commit()
     bed.cluster.renting.rented(rental, ["host-1", "host-2"], bed.clock.now_us())
     while (batch := bed.cluster.write_queue.next_batch(1)) is not None:
-        bed.cluster.write_queue.saved(bed.state.txn(batch.guards, batch.writes))
+        bed.cluster.write_queue.batch_committed(bed.state.txn(batch.guards, batch.writes))
         values = [bed.state.value_of(key) for key in named(bed, "host-1")]
         assert saved <= any("host-1" in value["returning"] for value in values)
     assert named(bed, "host-1") == [keys.rental_key(OWNER)]
--- a/tools/measure_embed.py
+++ b/tools/measure_embed.py
@@ -40,8 +40,8 @@
 
 def rate(jobs: int) -> None:
     """Small jobs from acceptance to start; each ends at once. So many are submitted together."""
-    for together, shelf in itertools.product((1, 10, 50), (NoShelf, scheduler.Shelf)):
-        scheduler.Shelf = shelf  # type: ignore[misc, assignment]
+    for together, shelf in itertools.product((1, 10, 50), (NoShelf, scheduler.PlacementCache)):
+        scheduler.PlacementCache = shelf  # type: ignore[misc, assignment]
         directory = tempfile.mkdtemp()
         waits: list[float] = []
         asked: dict[str, float] = {}
