--- a/src/tideusher/actors/cloud.py
+++ b/src/tideusher/actors/cloud.py
@@ -71,7 +71,7 @@
         self.log.debug("rental %s: %d %s", request.name, status, body[:100].decode("utf-8", "replace"))
         return None
 
-    def give_back(self, names: list[str]) -> list[str] | None:
+    def request_return(self, names: list[str]) -> list[str] | None:
         """The names, once the cloud has confirmed that they are gone."""
         status, body = self._client.call("POST", "/rentals/return", cloud.encode(cloud.Rented(names)))
         if status == 200:
--- a/src/tideusher/actors/election.py
+++ b/src/tideusher/actors/election.py
@@ -19,8 +19,8 @@
 from tideusher.config import Config, Policy
 from tideusher.core.decide.succession import (
     STEP_DOWN_COOLDOWN_US,
+    Candidate,
     Leadership,
-    Standing,
     early_after,
     election_delay_us,
     leader_cannot_read_pages,
@@ -59,8 +59,8 @@
         self._doubts_us: int | None = None  # since when what we know of the leadership is too old
         self._born_us = clock.now_us()
         self._size = config.settings.size
-        self._ours: Callable[[], Standing] = lambda: Standing(config.node, config.zone, True, behind=0)
-        self._others: Callable[[], list[Standing]] = list
+        self._ours: Callable[[], Candidate] = lambda: Candidate(config.node, config.zone, True, behind=0)
+        self._others: Callable[[], list[Candidate]] = list
         self._elected: Callable[[int], None] = lambda token: None
 
     def start(self) -> None:
@@ -94,13 +94,13 @@
             self.log.info("stand anew: token %d is ours and was let go of", stored.stamp)
             self._stand(stored.stamp, stored.value.get("early", 0))  # it is no change on evidence
 
-    def hear(
-        self, ours: Callable[[], Standing], others: Callable[[], list[Standing]], elected: Callable[[int], None]
+    def set_sources(
+        self, ours: Callable[[], Candidate], others: Callable[[], list[Candidate]], elected: Callable[[int], None]
     ) -> None:
         """Where to ask how this controller and the others stand, and whom to tell that we lead."""
         self._ours, self._others, self._elected = ours, others, elected
 
-    def stood_still(self, for_us: int, now_us: int) -> None:
+    def process_paused(self, for_us: int, now_us: int) -> None:
         """The process did nothing for so long: if our lease may have ended, we lead only once a read says so."""
         if for_us >= to_us(self._ttl_s):
             self._doubts_us, self.token, self._lease = now_us, None, None
@@ -127,7 +127,7 @@
             self._rests_until_us = self._clock.now_us() + STEP_DOWN_COOLDOWN_US
         self.token = None
 
-    def give_up(self) -> None:
+    def resign(self) -> None:
         """Leave the leadership to another; whoever is next stands at once."""
         token, self._rests_until_us = self.token, self._clock.now_us() + STEP_DOWN_COOLDOWN_US
         if token is not None:
--- a/src/tideusher/actors/leader.py
+++ b/src/tideusher/actors/leader.py
@@ -19,11 +19,11 @@
 from tideusher.core.decide import reachability
 from tideusher.core.decide.bounds import may_answer
 from tideusher.core.decide.pass_failures import PassFailures, Remedy
-from tideusher.core.decide.succession import Standing, TimerLag, all_read_pages
+from tideusher.core.decide.succession import Candidate, TimerLag, all_read_pages
 from tideusher.core.lead import explain
 from tideusher.core.lead.cluster import Cluster
 from tideusher.core.lead.engine import Engine
-from tideusher.core.lead.soft_state import Told, newer, reason_unusable, take_sightings
+from tideusher.core.lead.soft_state import ReceivedSoftState, apply_contacts, newer, reason_unusable
 from tideusher.core.lead.soft_state import collect as collect_soft_state
 from tideusher.core.lead.soft_state import restore as restore_soft_state
 from tideusher.core.lead.standby import Standby
@@ -81,9 +81,9 @@
         self._engine: Engine | None = None
         self._standby = Standby(config, policy, clock.wall_us, self._record_of, lambda: store.mirror)
         self._following = False  # is a piece of following under way?
-        self._standings: Callable[[], list[Standing]] = list
+        self._standings: Callable[[], list[Candidate]] = list
         self._sightings = WorkerContacts(LocalContacts(to_us(config.settings.workers.report_s)))
-        self._told: Told | None = None  # what the last leader told that no record holds
+        self._told: ReceivedSoftState | None = None  # what the last leader told that no record holds
         self._soft: Soft | None = None  # what we tell as a leader, made anew twice a second
         self._soft_us = 0
         self._tokens: list[int] = []  # of the last two leaderships
@@ -106,7 +106,7 @@
     def start(self) -> None:
         super().start()
         self._store.listen(self._on_change)
-        self.every(PASS_US, "beat")
+        self.every(PASS_US, "timer_tick")
         self.every(AUDIT_US, "audit")
         self.every(to_us(self._policy.ledger__gather_s), "gather")
         self.every(to_us(max(2.0, self._config.settings.cloud.list_lag_s)), "survey")
@@ -123,7 +123,7 @@
         """Where to ask whether another controller is heard, and reaches the state service."""
         self._reads = reads
 
-    def hear_standings(self, standings: Callable[[], list[Standing]]) -> None:
+    def hear_standings(self, standings: Callable[[], list[Candidate]]) -> None:
         """Where to ask which versions the other controllers are of, as far as they are heard."""
         self._standings = standings
 
@@ -169,7 +169,7 @@
     def on_follow(self) -> None:
         """One piece of what changed; the next comes when the loop has looked at what else there is to do."""
         self._following = False
-        if self._standby.piece(self._clock.now_us()):
+        if self._standby.apply_step(self._clock.now_us()):
             self._following = True
             gevent.spawn_later(0, self.tell, "follow")
 
@@ -222,7 +222,7 @@
         """Nobody decides on a picture that may be half changed, or follows with it."""
         if message in FOLLOWING and self._engine is None:
             self._metrics.count("standby_rebuilds")
-            self._standby.drop()
+            self._standby.invalidate()
             return
         if message in READING or self._election.token is None:
             return
@@ -247,7 +247,7 @@
         stored = self._store.mirror.get(key)
         return stored.value if stored is not None else None
 
-    def on_beat(self) -> None:
+    def on_timer_tick(self) -> None:
         """A tick by the timer: how late it comes tells how slow we are."""
         now_us = self._clock.now_us()
         late_us, self._beat_us = now_us - (self._beat_us or now_us) - PASS_US, now_us
@@ -261,13 +261,13 @@
         """Nothing believed of the time before counts: no silence, and no leadership until a read shows it."""
         self.log.info("stood still for %.1f s: silence counts from now", to_s(for_us))
         self._metrics.count("stood_still")
-        self._sightings.own.stood_still(for_us, now_us)
+        self._sightings.own.process_paused(for_us, now_us)
         cluster_state = (
             self._engine.cluster.cluster_state if self._engine is not None else self._standby.cluster_state
         )
         if cluster_state is not None:
-            cluster_state.zones.stood_still(now_us)
-        self._election.stood_still(for_us, now_us)
+            cluster_state.zones.process_paused(now_us)
+        self._election.process_paused(for_us, now_us)
 
     def _give_way(self, engine: Engine | None) -> None:
         if engine is not None and self._election.token == engine.token:
@@ -275,19 +275,19 @@
             if why:
                 self.log.info("give up the leadership: %s", why)
                 self._metrics.count("leaderships_given_up")
-                self.spawn(self._election.give_up)
+                self.spawn(self._election.resign)
 
-    def on_go_on(self, engine: Engine) -> None:
+    def on_continue_pass(self, engine: Engine) -> None:
         """One piece of a pass. The next comes when the loop has looked at what else there is to do.
 
         Of a whole pass a leader of 570 machines once did nothing else for 0.1 s.
         """
         if engine is self._engine:  # else we stepped down in between
-            self._after_piece(engine, engine.go_on())
+            self._after_piece(engine, engine.continue_pass())
 
     def _after_piece(self, engine: Engine, more: bool) -> None:
         if more:
-            gevent.spawn_later(0, self.tell, "go_on", engine)
+            gevent.spawn_later(0, self.tell, "continue_pass", engine)
         else:
             self._phase("first decision")
         self._act(engine)
@@ -297,14 +297,14 @@
         if self._phases and self._phases[0] == name:
             del self._phases[0]
             since_s = to_s(self._clock.now_us() - self._election.elected_us)
-            self._metrics.checked(name.replace(" ", "_"), since_s)
+            self._metrics.observe_takeover_phase(name.replace(" ", "_"), since_s)
             self.log.info("%s %.2f s after the election", name, since_s)
 
     def _look_after(self, engine: Engine, now_us: int) -> None:
         """Machines taken back or silent. Done at ticks: after each report of a fleet it cost most of a core."""
         cluster = engine.cluster
         for machine in cluster.health.taken(now_us):
-            cluster.give_back(machine, "the cloud has taken it back")
+            cluster.request_return(machine, "the cloud has taken it back")
         workers_ = self._config.settings.workers
         lease_us, report_us = to_us(workers_.lease_s), to_us(workers_.report_s)
         machines = list(cluster.machines.values())
@@ -316,12 +316,12 @@
         for machine, why in reachability.machines_out_of_contact(
             machines, lease_us, report_us, now_us, cluster.health.boot_us, heard_us
         ):
-            cluster.give_back(machine, why)
+            cluster.request_return(machine, why)
         for machine in machines:
             if machine.tasks and reachability.stopped_reporting(machine, report_us, heard_us, now_us):
-                engine.reports.move_on(machine, "its machine does not report", now_us)
-        cluster.falls.controller_only_zones = self._deaf_zones()
-        look = cluster.look_at_silence(now_us, self._probing)
+                engine.reports.release_unstarted(machine, "its machine does not report", now_us)
+        cluster.mass_failures.controller_only_zones = self._deaf_zones()
+        look = cluster.review_silent_machines(now_us, self._probing)
         for probe in look.probes:
             self._probing.add(probe.machine.name)
             self.spawn(self._probe, cluster.token, probe.machine)
@@ -377,7 +377,7 @@
             value_of=self._value_of,
         )
         self._phase("check records")
-        take_sightings(self._engine, self._sightings, now_us)
+        apply_contacts(self._engine, self._sightings, now_us)
         self._use_soft(self._engine, token, now_us)
         cluster = self._engine.cluster
         cluster.failures = self._failures
@@ -414,7 +414,7 @@
     def on_cancelled_elsewhere(self, job_id: str) -> None:
         """Another controller tells that a job is cancelled, which we may not be able to read."""
         if self._engine is not None:
-            self._engine.cluster.told_cancelled(job_id, self._clock.now_us())
+            self._engine.cluster.cancelled_by_peer(job_id, self._clock.now_us())
             self._act(self._engine)
 
     def on_cancelled_here(self, job_id: str) -> None:
@@ -476,7 +476,7 @@
         self._ask_list(token)
         now_us = self._clock.now_us()
         for machine in cluster.health.overdue(now_us):
-            cluster.give_back(machine, "it did not come up while others of its kind did, or in all patience")
+            cluster.request_return(machine, "it did not come up while others of its kind did, or in all patience")
 
     def _ask_list(self, token: int) -> None:
         self._listed_us = self._clock.now_us()
@@ -508,7 +508,7 @@
         if what == "teams":
             return explain.teams(cluster)
         if what == "falls":
-            return explain.falls(cluster)
+            return explain.mass_failures(cluster)
         if what == "machines":
             return explain.machines(cluster, now_us)
         return None
@@ -525,8 +525,8 @@
         token, orders = engine.token, engine.orders()
         for rental in orders.rent:
             self._rent(token, rental)
-        for first in range(0, len(orders.give_back), cloud_wire.MAX_RETURN):
-            self._give_back(token, orders.give_back[first : first + cloud_wire.MAX_RETURN])
+        for first in range(0, len(orders.request_return), cloud_wire.MAX_RETURN):
+            self._give_back(token, orders.request_return[first : first + cloud_wire.MAX_RETURN])
         for machine, commands in orders.direct.items():
             # One that has yet to report to us has an address if another controller hears it, or the cloud lists it.
             if machine.address and machine.phase != RETURNING:
@@ -536,7 +536,7 @@
         names = [machine.name for machine in machines]
         self._cloud.submit(
             Cloud.RETURN,
-            lambda: self._cloud.give_back(names),
+            lambda: self._cloud.request_return(names),
             lambda answer: self.tell("returned", token, machines, answer),
         )
 
@@ -637,13 +637,13 @@
     def on_found(self, token: int, machine: Machine) -> None:
         """A call reached a machine."""
         if self._cluster is not None and self._cluster.token == token:
-            self._cluster.falls.answered(machine, self._clock.now_us())
+            self._cluster.mass_failures.answered(machine, self._clock.now_us())
 
     def on_unanswered(self, token: int, machine: Machine, taken: bool, called_us: int) -> None:
         """A call reached nobody, or somebody who did not answer. What that means the next look says."""
         cluster, now_us = self._cluster, self._clock.now_us()
         if cluster is not None and cluster.token == token and cluster.health.is_suspect(machine, now_us):
-            cluster.falls.unanswered(machine, taken, called_us, now_us)
+            cluster.mass_failures.unanswered(machine, taken, called_us, now_us)
 
     # ---------------------------------------------------------------- persisting
 
@@ -668,38 +668,38 @@
             self.log.info("transaction refused: %s changed", ", ".join(conflict.failed))
             synced = self._store.sync()
             lost = keys.LEADER in conflict.failed
-            self.tell("not_saved", engine, synced, lost, False)
+            self.tell("batch_failed", engine, synced, lost, False)
         except (Unavailable, NoLease) as error:
             self.log.info("transaction not confirmed: %s", error)
             self.tell("unwritable", engine)
             gevent.sleep(0.3)
-            self.tell("not_saved", engine, self._store.sync(), False, not isinstance(error, Busy))
+            self.tell("batch_failed", engine, self._store.sync(), False, not isinstance(error, Busy))
         else:
-            self.tell("saved", engine, revision)
+            self.tell("batch_committed", engine, revision)
 
-    def on_saved(self, engine: Engine, revision: int) -> None:
+    def on_batch_committed(self, engine: Engine, revision: int) -> None:
         """A batch is through: its effects may be told."""
         if engine is self._engine:
-            engine.saved(revision, self._clock.now_us())
+            engine.batch_committed(revision, self._clock.now_us())
             self._act(engine)
 
     def on_unwritable(self, engine: Engine) -> None:
         """The state service did not take a write."""
-        engine.unwritable()
+        engine.mark_unwritable()
 
-    def on_not_saved(self, engine: Engine, synced: bool, lost: bool, unknown: bool) -> None:
+    def on_batch_failed(self, engine: Engine, synced: bool, lost: bool, unknown: bool) -> None:
         """A batch failed: read first, then write again what still holds. `unknown`: it may yet be carried out."""
         if engine is not self._engine or lost:
             return
         if not synced:
             self.spawn(self._sync_again, engine, unknown)
             return
-        engine.not_saved(self._store.stamp_of, unknown)
+        engine.batch_failed(self._store.stamp_of, unknown)
         self._act(engine)
 
     def _sync_again(self, engine: Engine, unknown: bool) -> None:
         gevent.sleep(0.5)
-        self.tell("not_saved", engine, self._store.sync(), False, unknown)  # `sync` says False whatever it met
+        self.tell("batch_failed", engine, self._store.sync(), False, unknown)  # `sync` says False whatever it met
 
 
 def _zone_of(cluster_state: ClusterState, machine: str) -> str | None:
--- a/src/tideusher/actors/peers.py
+++ b/src/tideusher/actors/peers.py
@@ -15,7 +15,7 @@
 
 from tideusher.clock import Clock, to_s, to_us
 from tideusher.config import Config, Peer, split_address
-from tideusher.core.decide.succession import LOST_US, Standing
+from tideusher.core.decide.succession import LOST_US, Candidate
 from tideusher.wire import peers as wire
 
 HEARTBEAT_S = 0.5
@@ -266,10 +266,10 @@
         link = self.links.get(node)
         return link is not None and link.usable()
 
-    def standings(self) -> list[Standing]:
+    def standings(self) -> list[Candidate]:
         """Every other controller that we hear, as a possible leader."""
         return [
-            Standing(
+            Candidate(
                 name,
                 link.peer.zone,
                 said.in_contact,
--- a/src/tideusher/actors/questions.py
+++ b/src/tideusher/actors/questions.py
@@ -12,7 +12,7 @@
 from tideusher.actors.store import Store
 from tideusher.config import Config
 from tideusher.core.decide.recovery import describe_mass_failure
-from tideusher.core.lead.explain import told_end, told_stops
+from tideusher.core.lead.explain import describe_end, describe_stops
 from tideusher.core.model import keys
 from tideusher.core.model.records import JOB_CANCELLED, JOB_DONE
 from tideusher.wire.peers import Ask
@@ -76,8 +76,8 @@
         status = stored.value["st"]
         reason = {
             JOB_DONE: "It is done.",
-            JOB_CANCELLED: told_end(stored.value.get("why", "")),
+            JOB_CANCELLED: describe_end(stored.value.get("why", "")),
         }.get(status, "It is accepted; the leader cannot be asked at the moment what it waits for.")
         stops: list[dict[str, Any]] = (tasks if tasks is not None else stored.value).get("w", [])
-        answer = {"job": job_id, "status": status, "reasons": [reason], "stops": told_stops(stops)}
+        answer = {"job": job_id, "status": status, "reasons": [reason], "stops": describe_stops(stops)}
         return Reply(200, answer)
--- a/src/tideusher/actors/scripts.py
+++ b/src/tideusher/actors/scripts.py
@@ -17,7 +17,7 @@
 from tideusher.core.model import keys
 from tideusher.pbs import Refusal, read_script, translate
 from tideusher.pbs.ids import pbs_id
-from tideusher.pbs.storage import Damaged, TooLong, expand, pack
+from tideusher.pbs.storage import Damaged, TooLong, decompress_text, pack
 from tideusher.wire import jobs as wire
 from tideusher.wire import state
 from tideusher.wire.scripts import KeptScript, ScriptRequest, ScriptTaken
@@ -75,7 +75,7 @@
         if self._store.mirror.get(keys.job_key(request.ref)) is not None:
             return self._users.poll(request.ref)
         try:
-            text = request.script.encode() if request.script is not None else expand(request.packed or "")
+            text = request.script.encode() if request.script is not None else decompress_text(request.packed or "")
             zone = timezone(timedelta(seconds=request.utc_offset_s)) if request.utc_offset_s else UTC
             now = datetime.fromtimestamp(to_s(self._clock.wall_us()), zone)
             script = read_script(text, request.file, request.options)
--- a/src/tideusher/core/decide/conditions.py
+++ b/src/tideusher/core/decide/conditions.py
@@ -81,10 +81,10 @@
     wall_us: Callable[[], int]
     log: logging.Logger
 
-    def park_or_wake(self, job: Job, now_us: int) -> None:
+    def update_schedulable(self, job: Job, now_us: int) -> None:
         """Its conditions are others now."""
 
-    def take_back(self, job: Job) -> None:
+    def release_uncommitted(self, job: Job) -> None:
         """Give up what was not committed."""
 
     def end(self, job: Job, why: str) -> None:
@@ -115,7 +115,7 @@
             if spec.after:
                 self._name(job)
                 self._look_back(job, now_us)
-        self._c.park_or_wake(job, now_us)
+        self._c.update_schedulable(job, now_us)
 
     def _name(self, job: Job) -> None:
         """Enter the job under those that it names."""
@@ -145,8 +145,8 @@
         job.hold = by
         self._c.log.info("job %s is %s", job.spec.id, f"held by {by}" if by else "released")
         if by:
-            self._c.take_back(job)
-        self._c.park_or_wake(job, now_us)
+            self._c.release_uncommitted(job)
+        self._c.update_schedulable(job, now_us)
 
     def began(self, job: Job) -> None:
         """A task of the job runs."""
@@ -194,7 +194,7 @@
             job = self._c.jobs.get(heapq.heappop(self._early)[1])
             if job is not None and job.start_after_us:
                 job.start_after_us = 0
-                self._c.park_or_wake(job, now_us)
+                self._c.update_schedulable(job, now_us)
         left = PIECE
         while self._work and left:
             news, names = self._work[0]
@@ -218,4 +218,4 @@
                 self._c.end(job, never(kind, news))
         job.unmet = tuple(left)
         if not left:
-            self._c.park_or_wake(job, now_us)
+            self._c.update_schedulable(job, now_us)
--- a/src/tideusher/core/decide/limits.py
+++ b/src/tideusher/core/decide/limits.py
@@ -24,7 +24,7 @@
     def touch_chunk(self, job: Job, index: int, effect: None = None, urgent: bool = True) -> None:
         """The record that holds this task is to be written."""
 
-    def over_limit(self, task: Task) -> None:
+    def enforce_limit(self, task: Task) -> None:
         """Stop it for good."""
 
 
@@ -61,7 +61,7 @@
                 self._first.pop(task, None)
             elif first is not None and machine.serial != first:
                 del self._first[task]
-                self._c.over_limit(task)
+                self._c.enforce_limit(task)
             else:
                 waiting.append((end_us, number, task))
                 if first is None and machine.last_contact_us > end_us:
--- a/src/tideusher/core/decide/mass_failures.py
+++ b/src/tideusher/core/decide/mass_failures.py
@@ -32,7 +32,7 @@
 CUT, FALLEN, ASKING = "cut", "fallen", "asking"
 
 #: So many machines of a zone at once are a fall, not a few that died each by itself.
-MANY = 4
+MASS_FAILURE_MACHINES = 4
 #: Of a zone to which no way is known so many silent machines are called at a time, and without so many calls in
 #: vain nothing is said of it.
 SAMPLE = 8
@@ -194,7 +194,7 @@
         """Whom to call beside those being called, and who is to be returned."""
         zones = self._by_zone(self._health.suspects(now_us))
         self._silent = {machine.name for silent in zones.values() for machine in silent}
-        self._shaky = {zone for zone, silent in zones.items() if len(silent) >= MANY}
+        self._shaky = {zone for zone, silent in zones.items() if len(silent) >= MASS_FAILURE_MACHINES}
         if not zones:
             self._first_us, self._open, self._sampled = {}, {}, set()
             self._told.clear()
@@ -245,7 +245,7 @@
         if zone in self._sampled:
             asked = len(silent)  # some of those that were called may be on their way back to the cloud already
         verdict = judge(Evidence(len(silent), asked, witnesses, controller_only_zones, controls_ok, bool(heard)))
-        if len(silent) >= MANY and self._told.get(zone) != verdict.kind:
+        if len(silent) >= MASS_FAILURE_MACHINES and self._told.get(zone) != verdict.kind:
             self._told[zone] = verdict.kind
             silent_s = to_s(now_us - min(machine.last_us or now_us for machine in silent))
             self.log.info(
@@ -284,7 +284,7 @@
 
     def _fallen(self, silent: list[Machine], verdict: Verdict, now_us: int) -> list[tuple[Machine, str]]:
         """Those of a zone's silent machines that are given up now, with the evidence against each."""
-        needed = 1 if len(silent) >= MANY else 2
+        needed = 1 if len(silent) >= MASS_FAILURE_MACHINES else 2
         out = []
         room: list[_Room] | None = None
         for machine in silent:
@@ -303,7 +303,7 @@
     def _list_due(self, silent: list[Machine], now_us: int) -> bool:
         """May the cloud's list soon tell what we cannot find out of these?"""
         since_us = now_us - max(machine.last_us for machine in silent)
-        return len(silent) >= MANY and LIST_FROM_US <= since_us <= LIST_TO_US
+        return len(silent) >= MASS_FAILURE_MACHINES and LIST_FROM_US <= since_us <= LIST_TO_US
 
     def _replace(self, machine: Machine, room: "list[_Room]", now_us: int) -> bool:
         """Has the machine hung for as long as having its tasks elsewhere would take?
--- a/src/tideusher/core/decide/preempt.py
+++ b/src/tideusher/core/decide/preempt.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Standing:
+class TeamStanding:
     """What the rules need to know of a team at this moment."""
 
     ratio: float
@@ -47,7 +47,7 @@
     def __init__(
         self,
         jobs: Iterable[Job],
-        standing: Callable[[str], Standing],
+        standing: Callable[[str], TeamStanding],
         min_run_us: Callable[[Job], int],
         policy: Policy,
         now_us: int,
@@ -59,11 +59,11 @@
     def changed(self) -> None:
         """Something was stopped: all is judged anew."""
         self._open: list[tuple[Job, bool, list[Task]]] | None = None
-        self._holding: dict[str, Standing] = {}
-        self._known: dict[tuple[str, int, Standing], set[Task]] = {}
+        self._holding: dict[str, TeamStanding] = {}
+        self._known: dict[tuple[str, int, TeamStanding], set[Task]] = {}
         self._sets: dict[tuple[int, ...], set[Task]] = {}  # by the jobs: others who stand differently may share it
 
-    def of(self, request: Job, asking: Standing) -> set[Task]:
+    def of(self, request: Job, asking: TeamStanding) -> set[Task]:
         """Every task that may be stopped for the request of a team that stands so; of a gang all or none."""
         if not self._min_run_us(request):
             return set()  # only funded requests stop anything
@@ -96,7 +96,7 @@
                     self._open.append((job, not minimum_us, tasks))
         return self._open
 
-    def _may_claim(self, request: Job, asking: Standing, job: Job, free: bool) -> bool:
+    def _may_claim(self, request: Job, asking: TeamStanding, job: Job, free: bool) -> bool:
         """Do the design's rule and the protocol's bounds allow stopping this job?"""
         team = job.spec.team
         holding = self._holding.get(team)
--- a/src/tideusher/core/decide/recovery.py
+++ b/src/tideusher/core/decide/recovery.py
@@ -126,7 +126,7 @@
     wall_us: Callable[[], int]
     log: logging.Logger
 
-    def set_returning(self, machine: Machine, reason: str) -> None:
+    def mark_returning(self, machine: Machine, reason: str) -> None:
         """It is never used again."""
 
     def ask_cloud_to_return(self, machine: Machine) -> None:
@@ -138,7 +138,7 @@
 
     def __init__(self, cluster: Machines) -> None:
         self._c = cluster
-        self.falls: dict[str, MassFailure] = {}
+        self.mass_failures: dict[str, MassFailure] = {}
         self._count = 0
         self._hurt: dict[str, _Hurt] = {}  # jobs that lost tasks and are not whole again
         self._entries: dict[str, Entry] = {}
@@ -163,7 +163,7 @@
             names = mass_failure.parts.setdefault(number, [])
             some, machines = machines[: size - len(names)], machines[size - len(names) :]
             for machine, why in some:
-                self._c.set_returning(machine, f"{why} (fall {mass_failure.name})")
+                self._c.mark_returning(machine, f"{why} (fall {mass_failure.name})")
                 machine.mass_failure = mass_failure.name
                 names.append(machine.name)
             self._c.write_queue.enqueue(
@@ -192,7 +192,9 @@
     def _ours(self) -> Iterable[MassFailure]:
         """Falls that this leader found: a later one's numbers begin anew."""
         return (
-            mass_failure for mass_failure in self.falls.values() if mass_failure.name.startswith(f"{self._c.token}-")
+            mass_failure
+            for mass_failure in self.mass_failures.values()
+            if mass_failure.name.startswith(f"{self._c.token}-")
         )
 
     def _new_name(self) -> str:
@@ -200,7 +202,7 @@
         while True:
             self._count += 1
             name = f"{self._c.token}-{self._count}"
-            if name not in self.falls:
+            if name not in self.mass_failures:
                 return name
             found = f"a fall {name} is there already, and token {self._c.token} would name another so"
             self._c.invariants.broken(Rule.FALL_NAME, found)
@@ -215,12 +217,12 @@
             if mass_failure.zone == zone and wall_us - mass_failure.known_us < SAME_US:
                 return mass_failure
         mass_failure = MassFailure(self._new_name(), zone, wall_us - silent_us, wall_us, why)
-        self.falls[mass_failure.name] = mass_failure
+        self.mass_failures[mass_failure.name] = mass_failure
         self._c.metrics.count("falls", zone)
         self._c.metrics.observe_mass_failure_detection(zone, to_s(silent_us))
-        for old in list(self.falls.values())[:-FALLS_KEPT]:
+        for old in list(self.mass_failures.values())[:-FALLS_KEPT]:
             if not old.parts and not self._mends(old):
-                del self.falls[old.name]
+                del self.mass_failures[old.name]
                 self._write(old)
         return mass_failure
 
@@ -228,7 +230,7 @@
 
     def lost(self, job: Job, fall_name: str) -> None:
         """A task of the job is proven gone with a machine that fell."""
-        mass_failure = self.falls.get(fall_name)
+        mass_failure = self.mass_failures.get(fall_name)
         if mass_failure is None or job.status != OPEN:
             return
         mass_failure.tasks += 1
@@ -243,7 +245,7 @@
 
     def returned(self, machine: Machine) -> None:
         """The machine's return is confirmed; with the last of a part its names are needed no more."""
-        mass_failure = self.falls.get(machine.mass_failure)
+        mass_failure = self.mass_failures.get(machine.mass_failure)
         if mass_failure is None:
             return
         for number, names in list(mass_failure.parts.items()):
@@ -336,25 +338,25 @@
             if number:
                 parts.append((name, number, value, stamp))
                 continue
-            self.falls[name] = read_fall(name, value)
-            self._entry(self.falls[name]).stamp = stamp
+            self.mass_failures[name] = read_fall(name, value)
+            self._entry(self.mass_failures[name]).stamp = stamp
         for name, number, value, stamp in parts:
-            mass_failure = self.falls.get(name)
+            mass_failure = self.mass_failures.get(name)
             if mass_failure is None:  # its record was not written any more: what it named is returned all the same
                 wall_us = self._c.wall_us()
-                mass_failure = self.falls[name] = MassFailure(
+                mass_failure = self.mass_failures[name] = MassFailure(
                     name, value["zone"], wall_us, wall_us, "an earlier leader found it"
                 )
             here = [m for host in value["hosts"] if (m := self._c.machines.get(host)) is not None]
             mass_failure.parts[number] = [machine.name for machine in here]
             self._part_entry(mass_failure, number).stamp = stamp
             for machine in here:
-                self._c.set_returning(machine, f"it fell (fall {name}); its return was asked")
+                self._c.mark_returning(machine, f"it fell (fall {name}); its return was asked")
                 machine.mass_failure = name
             if not here:
                 del mass_failure.parts[number]
                 self._c.write_queue.enqueue(self._part_entry(mass_failure, number), urgent=False)
-        for mass_failure in self.falls.values():
+        for mass_failure in self.mass_failures.values():
             for job_id in mass_failure.jobs if not mass_failure.whole_us else ():
                 job = self._c.jobs.get(job_id)
                 if job is not None and job.status == OPEN and job_id not in mass_failure.back:
@@ -367,7 +369,7 @@
         key = keys.fall_key(mass_failure.name, 0)
         if key not in self._entries:
             self._entries[key] = Entry(
-                key, lambda: mass_failure.value() if mass_failure.name in self.falls else None, 0
+                key, lambda: mass_failure.value() if mass_failure.name in self.mass_failures else None, 0
             )
         return self._entries[key]
 
--- a/src/tideusher/core/decide/succession.py
+++ b/src/tideusher/core/decide/succession.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class Candidate:
     """A controller as a possible leader, as it told us (ourselves: as we are)."""
 
     node: str
@@ -48,13 +48,13 @@
     reads_pages: bool = False  # does it read shared placement records? An older version does not
 
 
-def succession_order(standings: Iterable[Standing], token: int) -> list[str]:
+def succession_order(standings: Iterable[Candidate], token: int) -> list[str]:
     """Who stands first, second, ...: the same on all nodes that know the same. A tie is settled by the token.
 
     A node that is cut off from the state service is not in it.
     """
 
-    def place(one: Standing) -> tuple[bool, bool, bool, int, int, str]:
+    def place(one: Candidate) -> tuple[bool, bool, bool, int, int, str]:
         cold = 2 if one.behind is None else int(one.behind > WARM)
         slow = one.lag_us > SLOW_US
         return one.rests, one.deaf, slow, cold, crc32(f"{token}/{one.node}".encode()), one.node
@@ -62,7 +62,7 @@
     return [one.node for one in sorted((one for one in standings if one.in_contact), key=place)]
 
 
-def election_delay_us(ours: Standing, others: Sequence[Standing], token: int) -> int:
+def election_delay_us(ours: Candidate, others: Sequence[Candidate], token: int) -> int:
     """For how long this node lets others stand first once the leadership is free."""
     order = succession_order([ours, *others], token)
     return STEP_US * (order.index(ours.node) if ours.node in order else len(order))
@@ -79,7 +79,7 @@
 
 
 def takeover_reason(
-    leadership: Leadership, ours: Standing, others: Sequence[Standing], size: int, now_us: int
+    leadership: Leadership, ours: Candidate, others: Sequence[Candidate], size: int, now_us: int
 ) -> str:
     """Why this node takes the leadership from a leader whose lease still runs; empty: it does not."""
     if not ours.in_contact or ours.deaf or ours.lost != leadership.token:
@@ -98,12 +98,12 @@
     return f"{len(agree)} of {size - 1} others, in {len(zones)} zones, lost their connection to it and are refused"
 
 
-def leader_cannot_read_pages(leader: str, others: Sequence[Standing]) -> bool:
+def leader_cannot_read_pages(leader: str, others: Sequence[Candidate]) -> bool:
     """Is the leader an older version that does not read all that is on record? It can write nothing."""
     return any(one.node == leader and not one.reads_pages for one in others)
 
 
-def all_read_pages(peers: int, others: Sequence[Standing], shared_before: bool) -> bool:
+def all_read_pages(peers: int, others: Sequence[Candidate], shared_before: bool) -> bool:
     """May small jobs' records share pages?
 
     Once all other controllers were heard to read them, and until one is heard that does not: an older version that is
@@ -119,7 +119,7 @@
     return leadership.early + 1 if now_us - leadership.since_us < CALM_US else 1
 
 
-def step_down_reason(ours: Standing, others: Sequence[Standing], led_us: int) -> str:
+def step_down_reason(ours: Candidate, others: Sequence[Candidate], led_us: int) -> str:
     """Why a leader gives up its leadership by itself; empty: it goes on.
 
     One that computes several times slower than it should renews its lease and does little else: its answers come
--- a/src/tideusher/core/lead/cluster.py
+++ b/src/tideusher/core/lead/cluster.py
@@ -20,9 +20,9 @@
 from tideusher.core.decide.fleet import Fleet
 from tideusher.core.decide.health import Health
 from tideusher.core.decide.limits import Limits
-from tideusher.core.decide.mass_failures import MANY, MassFailureDetector, SilenceReview
+from tideusher.core.decide.mass_failures import MASS_FAILURE_MACHINES, MassFailureDetector, SilenceReview
 from tideusher.core.decide.pass_failures import PassFailures
-from tideusher.core.decide.preempt import Standing
+from tideusher.core.decide.preempt import TeamStanding
 from tideusher.core.decide.recovery import Recovery
 from tideusher.core.decide.starts import Kind, kind_of, refusal, zones_of_others
 from tideusher.core.decide.takeover_readiness import TakeoverReadiness
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True)
-class Direct:
+class DirectCommand:
     """A command to send straight to a worker, beside the answers to its reports."""
 
     machine: Machine
@@ -107,11 +107,13 @@
         types, arrivals = self.cluster_state.types, self.cluster_state.arrivals
         self.fleet = Fleet(policy, settings.objectives, types, arrivals, report_us, self.is_guest)
         self.health = Health(config, policy, self.machines, self.fleet, now_us, self.cluster_state.zones)
-        self.falls = MassFailureDetector(
+        self.mass_failures = MassFailureDetector(
             config, self.machines, lambda: self.fleet.types, self.health, self._crowded, self._yields
         )
         workers_ = settings.workers
-        self.truth = TakeoverReadiness(self.machines, now_us, to_us(workers_.report_s), to_us(workers_.lease_s))
+        self.takeover_readiness = TakeoverReadiness(
+            self.machines, now_us, to_us(workers_.report_s), to_us(workers_.lease_s)
+        )
         self.recovery = Recovery(self)
         self.conditions = Conditions(self, record_of)
         self.limits = Limits(self)
@@ -121,20 +123,22 @@
         self._value_of = value_of
         self.write_queue: WriteQueue = WriteQueue(keys.LEADER, token, settings.state.txn_ops, self._fence, self.pages)
         self._entries: dict[str, Entry] = {}
-        self.direct: list[Direct] = []
+        self.direct: list[DirectCommand] = []
         self.to_rent: list[Rental] = []
         self.to_return: list[Machine] = []
         self._types_value: Any = None
         self.failures = PassFailures()  # whoever drives passes may have one that outlives this picture
         self.renting = Renting(self, self.invariants, value_of)
         self.own_machines = OwnMachines(self)
-        self.rents: bool = True  # false: the machines are the program's own, and neither rented nor given back
+        self.rents_machines: bool = (
+            True  # false: the machines are the program's own, and neither rented nor given back
+        )
         #: Own machines for which there may be a command: they are not waited for until they report.
-        self.touched: dict[str, Machine] = {}
+        self.pending_machines: dict[str, Machine] = {}
         self.writable = True  # did the state service answer our last write?
         self.saved_us = 0  # when the state service last took a write of ours
         self.dirty: bool = True
-        self.opened = 0  # counts what may have opened room: places that came free, fetches that ended
+        self.capacity_changes = 0  # counts what may have opened room: places that came free, fetches that ended
 
     # ---------------------------------------------------------------- loading
 
@@ -151,7 +155,7 @@
         for rental in self.rentals.values():
             if not rental.answered:
                 self.to_rent.append(rental)  # same name: the cloud answers what it answered before
-        self.recovery.load((key, value, stamp) for key, (value, stamp) in sorted(cluster_state.falls.items()))
+        self.recovery.load((key, value, stamp) for key, (value, stamp) in sorted(cluster_state.mass_failures.items()))
         for machine in list(self.machines.values()):
             if machine.phase == RETURNING:
                 self.rental_index.mark_return_requested(machine.name)
@@ -170,14 +174,14 @@
             if task.job.live.get(task.index) is task:
                 self.ledger.charge_start(task, self.min_run_us(task.job), now_us, again=True)
         cluster_state.uncharged_starts.clear()
-        self.truth.begin()
+        self.takeover_readiness.begin()
 
     def _take_over_pages(self) -> None:
         placements, stamps = self.cluster_state.placements, self.cluster_state.stamps
         stored = [(key, members, stamps.pop(key, 0)) for key, members in placements.pages()]
         self.pages.load(stored, placements.pages_by_job(), self.cluster_state.fenced)
         for name in [name for name in self.pages.pages_by_job if name not in self.jobs]:
-            self.pages.give_up(name)  # of jobs that are over
+            self.pages.drop_member(name)  # of jobs that are over
 
     def _settle_job(self, job: Job) -> None:
         """What the last leader left half done."""
@@ -249,13 +253,13 @@
             # of completions alone: where one that is not urgent (a stop, a place that came free) was still waiting
             # behind them, nobody looked again, and a job of 25,000 tasks that were all done was never called so.
             entry.settled, entry.owner = partial(self._finish_if_done, job), job.spec.id
-            if job.spec.tasks <= CHUNK_TASKS and self.rents:
+            if job.spec.tasks <= CHUNK_TASKS and self.rents_machines:
                 entry.member = job.spec.id
         return entry
 
     def is_saved(self, job: Job, index: int) -> bool:
         """Is what we know of the task's chunk in the state service?"""
-        return self.write_queue.clean(self._chunk_entry(job, job.chunk_of(index)))
+        return self.write_queue.is_written(self._chunk_entry(job, job.chunk_of(index)))
 
     def touch_chunk(self, job: Job, index: int, effect: Effect | None = None, urgent: bool = True) -> None:
         chunk = job.chunk_of(index)
@@ -289,7 +293,7 @@
                 self.halt(task, self._grace_s(job), SHRUNK)
             self.dirty = self.dirty or bool(too_many)
 
-    def told_cancelled(self, job_id: str, now_us: int) -> None:
+    def cancelled_by_peer(self, job_id: str, now_us: int) -> None:
         """Another controller read that the job is cancelled: nothing of it starts, and what it has on machines stops.
 
         Its record will say so once we can read it; until then nothing is written for it, since each of its records is
@@ -310,7 +314,7 @@
             entry = Entry(keys.job_key(job.spec.id), lambda: {**value, "b": 1}, job.stamp)
             self.write_queue.enqueue(entry)
 
-    def park_or_wake(self, job: Job, now_us: int) -> None:
+    def update_schedulable(self, job: Job, now_us: int) -> None:
         """Passes look at the job from now on, or no more, as its conditions say."""
         name = job.spec.id
         if job.status == OPEN and job.blocked and not job.live:
@@ -321,7 +325,7 @@
             self.cluster_state.activate(job, came_us)
         self.dirty = True
 
-    def take_back(self, job: Job) -> None:
+    def release_uncommitted(self, job: Job) -> None:
         """Places that were not committed yet are given up: whoever held the job was told that it is held."""
         for task in list(job.live.values()):
             if task.phase == COMMITTING and job.live.get(task.index) is task:
@@ -333,7 +337,7 @@
             return
         if job.live:
             return  # a gang's other tasks have yet to report their exit
-        if not all(self.write_queue.clean(self._chunk_entry(job, c)) for c in job.chunks.values()):
+        if not all(self.write_queue.is_written(self._chunk_entry(job, c)) for c in job.chunks.values()):
             return
         if job.failed_count:
             count = f"{job.failed_count} of its {job.spec.tasks} tasks"
@@ -375,7 +379,7 @@
             return
         for chunk in job.chunks.values():
             entry = self._chunk_entry(job, chunk)
-            if entry.stamp or self.pages.home(entry.member) is not None or not self.write_queue.clean(entry):
+            if entry.stamp or self.pages.home(entry.member) is not None or not self.write_queue.is_written(entry):
                 self.write_queue.enqueue(entry, urgent=False)
         for chunk in list(job.chunks.values()):
             self._entries.pop(keys.chunk_key(job.spec.id, chunk.number), None)
@@ -396,7 +400,7 @@
         if job.spec.image in machine.images:
             self.cluster_state.used_image(task)
         self.cluster_state.unplace(task, now_us)
-        self.opened += 1
+        self.capacity_changes += 1
         # With the last task of a finished job gone, the write of that is what `done` waits for: the
         # members of a gang report their exits one by one, after the gang's completion was written.
         over = job.status == OPEN and job.over_count == job.spec.tasks
@@ -430,15 +434,15 @@
             return
         task.halt_grace_s, task.halt_reason = grace_s, reason
         self.log.info("stop %s attempt %d on %s: %s", task.name, task.attempt, task.machine.name, reason)
-        self.note_stop(task.job, task, reason)
+        self.record_stop(task.job, task, reason)
         if task.sent is None:
             self.free(task, task.placed_us)
             return
-        self.direct.append(Direct(task.machine, workers.halt(task.name, task.attempt, grace_s)))
-        if not self.rents:
-            self.touched[task.machine.name] = task.machine
+        self.direct.append(DirectCommand(task.machine, workers.halt(task.name, task.attempt, grace_s)))
+        if not self.rents_machines:
+            self.pending_machines[task.machine.name] = task.machine
 
-    def note_stop(self, job: Job, task: Task, reason: str) -> None:
+    def record_stop(self, job: Job, task: Task, reason: str) -> None:
         job.stops.append({"at": self.wall_us(), "task": task.index, "on": task.machine.name, "why": reason})
         del job.stops[:-MAX_STOPS_KEPT]
         self.touch_chunk(job, 0, urgent=False)  # the record of stops outlives this leader
@@ -448,7 +452,7 @@
     def lost(self, task: Task, reason: str, now_us: int) -> None:
         if task.halt_grace_s is None and task.job.status == OPEN:
             self.log.info("lost %s attempt %d on %s: %s", task.name, task.attempt, task.machine.name, reason)
-            self.note_stop(task.job, task, reason)
+            self.record_stop(task.job, task, reason)
             self.discard(task, now_us)
         self.free(task, now_us, vanished=True)
 
@@ -498,7 +502,7 @@
         told = "job %s of %s runs whole: %d tasks, %.1f s after it came"
         self.log.info(told, spec.id, spec.team, spec.tasks, waited_s)
 
-    def over_limit(self, task: Task) -> None:
+    def enforce_limit(self, task: Task) -> None:
         """Stop a task for good that ran longer than its job allows; a gang is stopped whole.
 
         That it is over is persisted first: a leader that dies after the stop would else leave a task
@@ -549,7 +553,7 @@
             # there until it shows that it is there and hears us.
             reachability.mark_unproven(machine, now_us)
         if returned:
-            self.give_back(machine, "its return was answered before")
+            self.request_return(machine, "its return was answered before")
         return machine
 
     def _add_unnamed(self, name: str, told: Report | Listed, rented_us: int) -> Machine:
@@ -564,11 +568,11 @@
         """Stop what runs on a machine that does harm, and return it."""
         self.log.info("drain %s: %s", machine.name, reason)
         machine.drain_reason = reason
-        self.give_back(machine, reason)
+        self.request_return(machine, reason)
 
-    def look_at_failures(self, machine: Machine, now_us: int) -> None:
+    def check_failures(self, machine: Machine, now_us: int) -> None:
         """Is the machine at fault for what failed on it? One that may be gets no new work until that is known."""
-        if machine.drain_reason or not self.rents:
+        if machine.drain_reason or not self.rents_machines:
             return
         verdict = task_failures.judge(machine, self.jobs, now_us)
         if verdict == task_failures.FAULTY:
@@ -579,14 +583,14 @@
             machine.suspect_since_us = now_us
             self.log.info("%s gets no new work for now: tasks of several jobs failed on it", machine.name)
 
-    def give_back(self, machine: Machine, reason: str) -> None:
+    def request_return(self, machine: Machine, reason: str) -> None:
         """Ask for a machine's return: persisted before the cloud hears of it, never used again."""
         if machine.phase == RETURNING:
             return
-        self.set_returning(machine, reason)
+        self.mark_returning(machine, reason)
         self.renting.enqueue(self.rentals[machine.rental], partial(self.ask_cloud_to_return, machine))
 
-    def set_returning(self, machine: Machine, reason: str) -> None:
+    def mark_returning(self, machine: Machine, reason: str) -> None:
         """No work goes there from now on. Whoever calls this has it persisted before the cloud hears of it."""
         if machine.phase == RETURNING:
             return
@@ -609,11 +613,11 @@
     def _yields(self, job: Job) -> bool:
         return job.spec.rank > CRITICAL and not job.is_gang and not self.min_run_us(job)
 
-    def look_at_silence(self, now_us: int, probing: Set[str]) -> SilenceReview:
+    def review_silent_machines(self, now_us: int, probing: Set[str]) -> SilenceReview:
         """Judge who has fallen silent and ask for the return of those that have fallen; returns whom to call."""
-        look = self.falls.review(now_us, probing)
+        look = self.mass_failures.review(now_us, probing)
         for zone, fallen in look.fallen.items():
-            self._gone_silent(zone, fallen, self.falls.has_many_silent(zone), now_us)
+            self._gone_silent(zone, fallen, self.mass_failures.has_many_silent(zone), now_us)
         return look
 
     def _gone_silent(self, zone: str, fallen: list[tuple[Machine, str]], many: bool, now_us: int) -> None:
@@ -622,7 +626,7 @@
             self.recovery.return_failed(zone, fallen, now_us)
             return
         for machine, why in fallen:
-            self.give_back(machine, why)
+            self.request_return(machine, why)
 
     def returned(self, names: Iterable[str], now_us: int) -> None:
         """The cloud confirmed: the machines and everything on them are gone."""
@@ -659,7 +663,7 @@
             if stopped is not None:
                 failed.setdefault(stopped.zone, []).append((stopped, "it stopped on its own, the cloud's list says"))
         for zone, fallen in failed.items():
-            self._gone_silent(zone, fallen, len(fallen) >= MANY, now_us)
+            self._gone_silent(zone, fallen, len(fallen) >= MASS_FAILURE_MACHINES, now_us)
 
     def _listed(self, item: Listed, now_us: int) -> Machine | None:
         """What the list says of one machine; returns it if it has stopped on its own."""
@@ -716,13 +720,13 @@
                     ready = not unsaved if job.is_gang else task.index // CHUNK_TASKS == number
                     if ready and task.phase == COMMITTING:
                         task.phase = ASSIGNED
-                        if not self.rents:
-                            self.touched[task.machine.name] = task.machine
+                        if not self.rents_machines:
+                            self.pending_machines[task.machine.name] = task.machine
 
             self.write_queue.enqueue(self._chunk_entry(job, chunk), persisted)
         self.recovery.placed(job, len(tasks))
         if self.log.isEnabledFor(logging.DEBUG):
-            places = ", ".join(f"{task.index}@{told_machine(task.machine)}" for task in tasks[:8])
+            places = ", ".join(f"{task.index}@{describe_machine(task.machine)}" for task in tasks[:8])
             self.log.debug("place %s: %s", job.spec.id, places)
         return len(tasks)
 
@@ -736,7 +740,7 @@
                 allowed.append(machine)
                 zones[machine.zone] += 1
                 continue
-            self.invariants.broken(Rule.PLACE, f"{job.spec.id} on {told_machine(machine)}: {why}")
+            self.invariants.broken(Rule.PLACE, f"{job.spec.id} on {describe_machine(machine)}: {why}")
             if job.is_gang:
                 return []
         return allowed
@@ -745,7 +749,7 @@
         """The machine, or the cloud, says what it is. That counts, whatever its record says."""
         if told == kind_of(machine):
             return
-        self.invariants.broken(Rule.MACHINE_KIND, f"{told_machine(machine)} is a {told}, {whose} says")
+        self.invariants.broken(Rule.MACHINE_KIND, f"{describe_machine(machine)} is a {told}, {whose} says")
         machine.zone, machine.spot = told.zone, told.spot
         if told.type != machine.type:
             self.drain(machine, f"it is a {told.type}, not a {machine.type}")
@@ -755,23 +759,23 @@
         team = self.teams.get(team_name)
         return team is None or not (team.cpus or team.gpus)
 
-    def use(self, team_name: str) -> tuple[float, float]:
+    def team_usage(self, team_name: str) -> tuple[float, float]:
         """CPUs and GPUs of the team's tasks that are not proven gone."""
         usage = self.usage[team_name]
         return usage[0], usage[1]
 
-    def standing(self, team_name: str, extra: JobSpec | None = None) -> Standing:
+    def standing(self, team_name: str, extra: JobSpec | None = None) -> TeamStanding:
         """The team's ratio, and whether its present use (and the request) is within its guarantee."""
         team = self.teams.get(team_name)
         if team is None:
-            return Standing(1e12, False)
+            return TeamStanding(1e12, False)
         usage = self.usage[team_name]
         cpus, gpus = usage[0], usage[1]
         if extra is not None:
             cpus, gpus = cpus + extra.cpus, gpus + extra.gpus
         guaranteed = bool(team.cpus or team.gpus)
         inside = (not team.cpus or cpus <= team.cpus + 1e-9) and (not team.gpus or gpus <= team.gpus + 1e-9)
-        return Standing(self.ledger.ratio(team_name), guaranteed and inside)
+        return TeamStanding(self.ledger.ratio(team_name), guaranteed and inside)
 
     def settled(self, now_us: int) -> bool:
         """Is the state service taking our writes right now? What we stop then starts again at once."""
@@ -792,6 +796,6 @@
         self.write_queue.enqueue(self.entry(keys.RATIOS, lambda: self.ledger.to_value(now_us)), urgent=False)
 
 
-def told_machine(machine: Machine) -> str:
+def describe_machine(machine: Machine) -> str:
     """A machine as the log tells of it: with its rental, and what it is."""
     return f"{machine.name} ({machine.rental}: {kind_of(machine)})"
--- a/src/tideusher/core/lead/engine.py
+++ b/src/tideusher/core/lead/engine.py
@@ -2,8 +2,8 @@
 
 The leader's actor runs one over the state service, the cloud and reports that come by HTTP; an embedded
 instance runs one over a directory and the machines of its program. Whoever runs it does four things:
-hands in what happened (`report`, `job`, `tick`), writes what `batch` gives, says how that went (`saved`,
-`not_saved`), and then carries out what `orders` gives. The order of these is what safety 2 rests on:
+hands in what happened (`report`, `job`, `tick`), writes what `batch` gives, says how that went (`batch_committed`,
+`batch_failed`), and then carries out what `orders` gives. The order of these is what safety 2 rests on:
 nothing comes out of `orders` before the write that it hangs on was told as saved.
 """
 
@@ -34,7 +34,7 @@
     """What may be done now: machines to rent and to return, commands that need not wait for a report."""
 
     rent: list[Rental] = field(default_factory=list)
-    give_back: list[Machine] = field(default_factory=list)
+    request_return: list[Machine] = field(default_factory=list)
     direct: dict[Machine, list[Command]] = field(default_factory=dict)
 
 
@@ -74,16 +74,16 @@
     # ---------------------------------------------------------------- passes
 
     def tick(self, now_us: int) -> bool:
-        """Begin a pass if one is due and none is under way; True if it was, and `go_on` has more to do."""
+        """Begin a pass if one is due and none is under way; True if it was, and `continue_pass` has more to do."""
         if self._pass is not None or not (self.cluster.dirty or now_us - self._last_pass_us > IDLE_PASS_US):
             return False
-        if now_us - self._last_pass_us < self.scheduler.rest_us(self._pieces):
+        if now_us - self._last_pass_us < self.scheduler.pause_us(self._pieces):
             return False
         self._last_pass_us, self._pieces = now_us, 0
-        self._pass = self.scheduler.pieces(now_us)
-        return self.go_on()
+        self._pass = self.scheduler.pass_steps(now_us)
+        return self.continue_pass()
 
-    def go_on(self) -> bool:
+    def continue_pass(self) -> bool:
         """One piece of the pass under way; True if there is another."""
         if self._pass is None:
             return False
@@ -104,21 +104,21 @@
         recovers = self.cluster.recovery.waiting() > 0
         return self.cluster.write_queue.next_batch(self._max_ops, self._max_ops // LAZY_PART if recovers else None)
 
-    def saved(self, revision: int, now_us: int) -> None:
+    def batch_committed(self, revision: int, now_us: int) -> None:
         """The batch is through: its effects may be told."""
         self.cluster.write_queue.batch_committed(revision)
         self.cluster.saved_us, self.cluster.writable = now_us, True
 
-    def unwritable(self) -> None:
+    def mark_unwritable(self) -> None:
         """What is stored did not take a write: nothing more is stopped until it does."""
         self.cluster.writable = False
 
-    def not_saved(self, stamp_of: Callable[[str], int], unknown: bool = True) -> None:
+    def batch_failed(self, stamp_of: Callable[[str], int], unknown: bool = True) -> None:
         """A batch failed: what still holds of it is written again, with stamps from a newer read.
 
         `unknown`: it may still be carried out.
         """
-        self.cluster.write_queue.not_saved(stamp_of, unknown)
+        self.cluster.write_queue.batch_failed(stamp_of, unknown)
 
     def orders(self) -> Orders:
         """Take what may be done now; each is given once."""
--- a/src/tideusher/core/lead/explain.py
+++ b/src/tideusher/core/lead/explain.py
@@ -15,14 +15,14 @@
 MAX_NAMED = 8
 
 
-def told_stops(stops: list[dict[str, Any]]) -> list[dict[str, Any]]:
+def describe_stops(stops: list[dict[str, Any]]) -> list[dict[str, Any]]:
     """The persisted record of stops as told to people."""
     return [
         {"at_s": round(to_s(s["at"]), 1), "task": s["task"], "machine": s["on"], "reason": s["why"]} for s in stops
     ]
 
 
-def told_end(why: str) -> str:
+def describe_end(why: str) -> str:
     """How a job ended that was not done."""
     return f"The service ended it: {why}." if why else "Its user cancelled it."
 
@@ -45,7 +45,7 @@
         "done": job.done_count,
         "placed": len(job.live),
         "reasons": own + _reasons(cluster, job, now_us),
-        "stops": told_stops(job.stops),
+        "stops": describe_stops(job.stops),
     }
     more = {"name": job.spec.name, "array": job.spec.array}
     return answer | {name: value for name, value in more.items() if value is not None}
@@ -80,7 +80,7 @@
 
 def _reasons(cluster: Cluster, job: Job, now_us: int) -> list[str]:
     if job.status == JOB_CANCELLED:
-        return [told_end(job.why)[:-1] + "; what is left of it is being stopped."]
+        return [describe_end(job.why)[:-1] + "; what is left of it is being stopped."]
     if job.status == JOB_DONE:
         return ["It is done."]
     reasons = _blocks(cluster, job)
@@ -146,10 +146,10 @@
     return reasons
 
 
-def falls(cluster: Cluster) -> list[dict[str, Any]]:
+def mass_failures(cluster: Cluster) -> list[dict[str, Any]]:
     """The falls on record, the newest first; with what still waits, and why."""
     rows = []
-    for mass_failure in reversed(cluster.recovery.falls.values()):
+    for mass_failure in reversed(cluster.recovery.mass_failures.values()):
         hurt = cluster.recovery.still_waiting(mass_failure)
         waits = {job.spec.id: _still(job) for job in hurt[:MAX_NAMED]}
         rows.append(describe_mass_failure(mass_failure.name, mass_failure.value()) | {"still_waiting": waits})
@@ -168,7 +168,7 @@
     """Ratios, charges, guarantees and present use."""
     rows = []
     for team in cluster.teams.values():
-        cpus, gpus = cluster.use(team.name)
+        cpus, gpus = cluster.team_usage(team.name)
         rows.append(
             {
                 "team": team.name,
--- a/src/tideusher/core/lead/own_machines.py
+++ b/src/tideusher/core/lead/own_machines.py
@@ -10,14 +10,14 @@
 class Machines(Protocol):
     """What this needs of the leader's picture."""
 
-    rents: bool
+    rents_machines: bool
     rentals: dict[str, Rental]
     machines: dict[str, Machine]
 
     def add_machine(self, name: str, rental: Rental, now_us: int) -> Machine:
         """The rental brought a machine that was not known."""
 
-    def set_returning(self, machine: Machine, reason: str) -> None:
+    def mark_returning(self, machine: Machine, reason: str) -> None:
         """No work goes there from now on."""
 
     def halt(self, task: Task, grace_s: float, reason: str) -> None:
@@ -35,7 +35,7 @@
 
     def add(self, machines: Iterable[tuple[str, str, str]], now_us: int) -> None:
         """Machines that are there for good: (name, type, zone)."""
-        self._c.rents = False
+        self._c.rents_machines = False
         for name, kind, zone in machines:
             rental = Rental(f"own-{name}", kind, zone, False, 1, answered=True)
             self._c.rentals[rental.name] = rental
@@ -46,21 +46,21 @@
         machine = self._c.machines.get(name)
         if machine is None or machine.phase == RETURNING:
             return
-        self._c.set_returning(machine, reason)
+        self._c.mark_returning(machine, reason)
         for task in list(machine.tasks.values()):
             for member in list(task.job.live.values()) if task.job.is_gang else [task]:
                 self._c.halt(member, grace_s, reason)
 
-    def leave(self, now_us: int) -> list[str]:
+    def remove_drained(self, now_us: int) -> list[str]:
         """Withdrawn machines on which nothing is any more are gone from now on; returns their names."""
-        if self._c.rents:
+        if self._c.rents_machines:
             return []
         names = [m.name for m in self._c.machines.values() if m.phase == RETURNING and not m.tasks]
         if names:
             self._c.returned(names, now_us)
         return names
 
-    def hear(self, now_us: int) -> None:
+    def refresh_contact(self, now_us: int) -> None:
         """They live as long as their program: they are as good as heard at any moment."""
         for machine in self._c.machines.values():
             machine.last_contact_us = machine.last_report_us = now_us
--- a/src/tideusher/core/lead/renting.py
+++ b/src/tideusher/core/lead/renting.py
@@ -38,7 +38,7 @@
     ledger: Ledger
     write_queue: WriteQueue
     to_rent: list[Rental]
-    rents: bool
+    rents_machines: bool
     dirty: bool
 
     def entry(self, key: str, value: Callable[[], Any]) -> Entry:
@@ -99,7 +99,7 @@
         while they ran.
         """
         for rental in {machine.rental: self._c.rentals[machine.rental] for machine in machines}.values():
-            if self._c.rents and not self._c.write_queue.clean(self.entry(rental)):
+            if self._c.rents_machines and not self._c.write_queue.is_written(self.entry(rental)):
                 self.enqueue(rental)
 
     def settle(self, rental: Rental, effect: Effect | None = None, urgent: bool = False) -> None:
--- a/src/tideusher/core/lead/reports.py
+++ b/src/tideusher/core/lead/reports.py
@@ -9,7 +9,7 @@
 from tideusher.clock import SECOND_US, to_s, to_us
 from tideusher.core.decide import reachability, task_failures
 from tideusher.core.decide.starts import MAY_CHANGE, Kind, refusal, zones_of_others
-from tideusher.core.lead.cluster import Cluster, told_machine
+from tideusher.core.lead.cluster import Cluster, describe_machine
 from tideusher.core.model.records import ASSIGNED, BOOTING, COMMITTING, OPEN, SEEN, UP, Job, Machine, Task
 from tideusher.invariants import Rule
 from tideusher.wire import workers
@@ -61,15 +61,15 @@
         lost = heeded = False  # was an answer of ours lost, was one carried out?
         if asked:
             behind = report.token < self._c.token
-            lost = behind and machine.closed > (0, 0)
+            lost = behind and machine.latest_own_report > (0, 0)
             heeded = bool(machine.behind_us) and not behind
-            if behind and machine.closed == (0, 0) and not machine.last_contact_us:
+            if behind and machine.latest_own_report == (0, 0) and not machine.last_contact_us:
                 # The first that we hear may be a copy from before our election: what controllers told of its silence
                 # holds until it shows that it hears us.
                 heard_us = machine.seen_us or now_us
             machine.last_report_us = now_us
             machine.behind_us = (machine.behind_us or now_us) if behind else 0
-            machine.closed = (report.session, report.serial)
+            machine.latest_own_report = (report.session, report.serial)
         machine.last_contact_us, machine.probes_failed, machine.probe_result = heard_us, 0, ""
         self._c.health.heard(machine.zone, now_us)
         machine.address = report.address
@@ -104,7 +104,7 @@
         if heeded:
             reachability.record_effective_answer(machine)
         elif lost and reachability.record_ignored_answer(machine, self._report_us, now_us):
-            self.move_on(machine, "its machine does not hear what it is told", now_us)
+            self.release_unstarted(machine, "its machine does not hear what it is told", now_us)
         return [
             command
             for (job_id, index, attempt), item in listed.items()
@@ -123,7 +123,7 @@
             task.state = item.state
             if item.state in (workers.ACTIVE, workers.WAITING):
                 self._c.cluster_state.used_image(task)
-                self._c.opened += 1
+                self._c.capacity_changes += 1
         elif item.state == workers.FETCHING:
             task.machine.images.pop(task.job.spec.image, None)  # we counted on one that is gone
         if item.state == workers.ACTIVE and task.running_us is None:
@@ -131,7 +131,7 @@
             waited_us = self._c.wall_us() - task.job.submitted_us
             self._c.metrics.observe_wait(task.job.spec.job_class, max(0.0, to_s(waited_us)))
 
-    def move_on(self, machine: Machine, why: str, now_us: int) -> None:
+    def release_unstarted(self, machine: Machine, why: str, now_us: int) -> None:
         """What the worker was not told to start, or surely in vain, may start elsewhere."""
         for task in list(machine.tasks.values()):
             if task.phase == ASSIGNED and task.sent is None and task.halt_grace_s is None:
@@ -151,7 +151,7 @@
         assert task.sent is not None
         ours = task.sent > (0, 0)
         dropped = new_session and ours and report.session > task.sent[0]
-        if not dropped and (report.token < self._c.token or (ours and task.machine.closed <= task.sent)):
+        if not dropped and (report.token < self._c.token or (ours and task.machine.latest_own_report <= task.sent)):
             return False
         if task.phase == ASSIGNED and not task.inherited and not new_session and task.halt_grace_s is None:
             task.sent = None  # the answer was lost; this attempt never was on the machine: send it again
@@ -174,7 +174,7 @@
             return
         if job.status == OPEN and task.halt_grace_s is None:
             self.log.info("%s attempt %d on %s exited: %s", task.name, task.attempt, machine.name, item.cause)
-            self._c.note_stop(job, task, f"it exited: {item.cause}")
+            self._c.record_stop(job, task, f"it exited: {item.cause}")
         if item.cause == workers.CAUSE_ERROR:
             self._errored(job, machine, now_us)
         elif item.cause in (workers.CAUSE_NO_ROOM, workers.CAUSE_BUSY, workers.CAUSE_UNKNOWN):
@@ -190,7 +190,7 @@
         pause_us = task_failures.pause_us(job)
         if pause_us:
             job.not_before_us = max(job.not_before_us, now_us + pause_us)
-        self._c.look_at_failures(machine, now_us)
+        self._c.check_failures(machine, now_us)
 
     def _recalled(self, machine: Machine, recall_s: float, now_us: int) -> None:
         machine.recall_deadline_us = now_us + to_us(recall_s)
@@ -237,11 +237,11 @@
         why = refusal(task.job, task.machine, zones_of_others(task.job, task))
         if why is None:
             if self.log.isEnabledFor(logging.DEBUG):
-                told = told_machine(task.machine)
+                told = describe_machine(task.machine)
                 self.log.debug("start %s attempt %d on %s, token %d", task.name, task.attempt, told, self._c.token)
             return True
         if why not in MAY_CHANGE:
-            found = f"{task.name} attempt {task.attempt} on {told_machine(task.machine)}: {why}"
+            found = f"{task.name} attempt {task.attempt} on {describe_machine(task.machine)}: {why}"
             self._c.invariants.broken(Rule.START, found)
         self._c.metrics.count("starts_withheld", why.name.lower())
         self._c.lost(task, f"it may not start there: {why}", task.placed_us)
--- a/src/tideusher/core/lead/scheduler.py
+++ b/src/tideusher/core/lead/scheduler.py
@@ -24,7 +24,7 @@
 AVOIDED = 4
 #: After a pass the next one rests so long for each piece beyond the first few, and for each job that waited: in a
 #: flood passes in a row would take all of a core, and find again and again what they found before.
-REST_FREE, REST_PIECE_US, REST_JOB_US = 50, 3_000, 400
+REST_FREE, REST_PIECE_US, PAUSE_PER_JOB_US = 50, 3_000, 400
 SET_ASIDE = "its next try: a pass failed on it"
 MOVED = "hardly used; its tasks moved to others"
 
@@ -52,7 +52,7 @@
         self._c = cluster
         self._spare_gpus = 0.0
         self._gathering = GangReservations()
-        self._shelf: PlacementCache | None = None
+        self._placement_cache: PlacementCache | None = None
         self._place: dict[str, int] = {}  # of each waiting job in the queue
         self._nothing = RefusalCache()  # what found no room in this pass
         self._opened = 0  # as of which change that may have opened room
@@ -68,19 +68,19 @@
 
     def schedule(self, now_us: int) -> None:
         """One pass without a pause."""
-        for _ in self.pieces(now_us):
+        for _ in self.pass_steps(now_us):
             pass
 
-    def rest_us(self, pieces: int) -> int:
+    def pause_us(self, pass_steps: int) -> int:
         """How long after the beginning of a pass of so many pieces the next one may begin.
 
         A program's own instance (`tideusher.embed`) is driven by the program, and waits for nothing.
         """
-        if not self._c.rents:
+        if not self._c.rents_machines:
             return 0
-        return REST_PIECE_US * max(0, pieces - REST_FREE) + REST_JOB_US * len(self._place)
+        return REST_PIECE_US * max(0, pass_steps - REST_FREE) + PAUSE_PER_JOB_US * len(self._place)
 
-    def pieces(self, now_us: int) -> Iterator[None]:
+    def pass_steps(self, now_us: int) -> Iterator[None]:
         """One pass: place what fits, stop what must yield, rent what is missing, return what idles.
 
         It pauses after PIECE_LOOKS looks at machines, and between its parts, so that reports, renewals
@@ -90,7 +90,7 @@
         the next pass.
         """
         self._c.dirty = False
-        for zone, heard, of, waited_us in self._c.truth.step(now_us):
+        for zone, heard, of, waited_us in self._c.takeover_readiness.step(now_us):
             self._c.metrics.observe_takeover_phase("heard", to_s(waited_us))
             self._c.log.info("check heard: %d of %d machines of %s, after %.1f s", heard, of, zone, to_s(waited_us))
         self._c.limits.step(now_us)
@@ -101,14 +101,14 @@
             return
         for machine in list(self._c.machines.values()):
             if machine.suspect_since_us:
-                self._c.look_at_failures(machine, now_us)
+                self._c.check_failures(machine, now_us)
             if machine.reserved:
                 job = self._c.jobs.get(machine.reserved)
                 if job is None or job.pending <= 0 or now_us > machine.reserved_until_us:
                     machine.reserved = ""
         waiting = [job for job in self._c.active.values() if job.waits]
         self._place = {}
-        if not waiting and not self._c.rents:
+        if not waiting and not self._c.rents_machines:
             return  # and nothing to rent or to give back for others
         within = self._within_guarantee()
         wall_us = self._c.wall_us()
@@ -122,7 +122,7 @@
         )
         recovering = self._c.recovery.waiting() > 0
         fresh_us = to_us(3 * self._c.config.settings.workers.report_s + 1)
-        avoid_placement = self._c.falls.avoid_placement
+        avoid_placement = self._c.mass_failures.avoid_placement
         usable = [
             m
             for m in self._c.machines.values()
@@ -139,8 +139,8 @@
         holding = [m for m in usable if least.fits(m.free_cpus, m.free_gpus, m.free_ram_gb)]
         room = FreeCapacity(holding, self._c.policy.placement__parts)
         # Nothing but the pass itself changes what is free on own machines while it is made.
-        plain = not self._c.rents and not self._gathering.held and not any(m.reserved for m in holding)
-        self._shelf = PlacementCache(holding, self._c.policy.placement__parts) if plain else None
+        plain = not self._c.rents_machines and not self._gathering.held and not any(m.reserved for m in holding)
+        self._placement_cache = PlacementCache(holding, self._c.policy.placement__parts) if plain else None
         held = self._gathering.held
         self._nothing.clear()
         self._favoured = {m.reserved for m in holding if m.reserved} | {job.spec.id for job in held.values()}
@@ -164,7 +164,7 @@
         self._ordinary_short = Demand.least_of(short) if short else None
         # What is stopped while nothing can be started is stopped for nobody; what is stopped before the fleet
         # is heard again makes room that is there already.
-        if self._c.writable and self._c.truth.all_zones_ready():
+        if self._c.writable and self._c.takeover_readiness.all_zones_ready():
             self._preempt(unplaced, now_us)
         yield
         unplaced = _still_wait(unplaced)
@@ -182,7 +182,7 @@
         )
         yield
         requests = [request for request in requests if request.job.waits]
-        if self._c.rents:
+        if self._c.rents_machines:
             self._plan_fleet(requests, now_us)
             yield
             self._thin_out(now_us)
@@ -240,8 +240,8 @@
             return 0, False
         tries = at_fault(job)  # nothing is rented or stopped for it
         terms = self._terms(job, count, now_us)
-        if self._opened != self._c.opened:
-            self._opened = self._c.opened
+        if self._opened != self._c.capacity_changes:
+            self._opened = self._c.capacity_changes
             self._nothing.clear()
         whole = count if job.is_gang else 1
         if job.spec.id not in self._favoured and self._nothing.refuses(terms.kind, job.spec, whole):
@@ -285,7 +285,7 @@
         spec = job.spec
         failed = job.error_machines or ()
         # Of own machines there may be few: where each has failed once, none is avoided.
-        most = AVOIDED if self._c.rents else min(AVOIDED, len(self._c.machines))
+        most = AVOIDED if self._c.rents_machines else min(AVOIDED, len(self._c.machines))
         avoid = failed if len(failed) < most else ()
         # Classes without a claim to the warm room may not eat it up.
         enough = self._c.fleet.is_warm(spec.job_class) or spec.gpus * count <= self._spare_gpus
@@ -326,7 +326,9 @@
         def not_warm(machine: Machine) -> bool:
             return free_to_it(machine) and (machine.spot or self._gathering.held.get(machine.name) is job)
 
-        shelved = self._shelf.place(job, count) if self._shelf is not None and terms.plain else None
+        shelved = (
+            self._placement_cache.place(job, count) if self._placement_cache is not None and terms.plain else None
+        )
         if shelved is not None:
             machines = shelved
         else:
@@ -342,15 +344,15 @@
 
     def _assign(self, job: Job, machines: list[Machine], now_us: int) -> int:
         placed = self._c.assign(job, machines, now_us)
-        if self._shelf is not None:
-            self._shelf.changed(machines)
+        if self._placement_cache is not None:
+            self._placement_cache.changed(machines)
         return placed
 
     def _preempt(self, unplaced: list[tuple[Job, int]], now_us: int) -> None:
         if not unplaced:
             return
         stops = 0
-        avoid_placement = self._c.falls.avoid_placement
+        avoid_placement = self._c.mass_failures.avoid_placement
         usable = [m for m in self._c.machines.values() if _usable(m) and not avoid_placement(m, now_us)]
         coming_free = capacity_after_stops(usable)
         coming = sum(
@@ -425,7 +427,11 @@
         and for one machine in MOVE_ONE_OF at a time: what a move costs is a share of all replicas,
         and one machine at a time would never empty a large fleet.
         """
-        if now_us < self._next_move_us or not self._c.settled(now_us) or not self._c.truth.all_zones_ready():
+        if (
+            now_us < self._next_move_us
+            or not self._c.settled(now_us)
+            or not self._c.takeover_readiness.all_zones_ready()
+        ):
             return
         if self._c.write_queue.waiting > self._c.config.settings.state.txn_ops:
             return  # moves would wait for their write
@@ -498,7 +504,7 @@
         # half a minute late when a whole fleet was wanted; what has to wait is asked for in one.
         room = max(2, int(self._c.config.settings.cloud.rps)) - len(asked)
         if room > 0:
-            avoid_placement = self._c.falls.avoid_placement
+            avoid_placement = self._c.mass_failures.avoid_placement
             # No room is soon to come of a machine that is silent, unless it hangs: those mostly go on before
             # one rented in their place would be up.
             # Nor of one that others overtook while it boots.
@@ -516,10 +522,10 @@
         self._consolidate(now_us)
         for machine in self._c.machines.values():
             if machine.drain_reason == MOVED and machine.phase == UP and not machine.tasks:
-                self._c.give_back(machine, MOVED)
+                self._c.request_return(machine, MOVED)
         for machine, reason in self._c.fleet.surplus(now_us, self._not_held()):
-            if self._c.truth.zone_ready(machine.zone):
-                self._c.give_back(machine, reason)
+            if self._c.takeover_readiness.zone_ready(machine.zone):
+                self._c.request_return(machine, reason)
 
     def _not_held(self) -> list[Machine]:
         """All machines but those whose room is held for a gang."""
--- a/src/tideusher/core/lead/soft_state.py
+++ b/src/tideusher/core/lead/soft_state.py
@@ -41,19 +41,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ReceivedSoftState:
     """Soft facts as they came, and when."""
 
     soft: Soft
     at_us: int
 
 
-def newer(old: Told | None, soft: Soft, now_us: int) -> Told:
+def newer(old: ReceivedSoftState | None, soft: Soft, now_us: int) -> ReceivedSoftState:
     """Which to keep: never what an older leader tells after a newer one, whenever it wakes."""
-    return old if old is not None and soft.token < old.soft.token else Told(soft, now_us)
+    return old if old is not None and soft.token < old.soft.token else ReceivedSoftState(soft, now_us)
 
 
-def reason_unusable(told: Told | None, predecessor: int | None, now_us: int) -> str:
+def reason_unusable(told: ReceivedSoftState | None, predecessor: int | None, now_us: int) -> str:
     """Why these soft facts may not be used; empty: they may."""
     if told is None:
         return "nobody told any"
@@ -64,7 +64,7 @@
     return ""
 
 
-def take_sightings(engine: Engine, contacts: WorkerContacts, now_us: int) -> None:
+def apply_contacts(engine: Engine, contacts: WorkerContacts, now_us: int) -> None:
     """Since when each inherited machine is silent, and where it can be called, as far as any controller told."""
     for machine in engine.cluster.machines.values():
         seen = contacts.last(machine.name, now_us)
@@ -72,7 +72,7 @@
             machine.seen_us, machine.address = seen[0], machine.address or seen[1]
 
 
-def restore(engine: Engine, told: Told, now_us: int) -> int:
+def restore(engine: Engine, told: ReceivedSoftState, now_us: int) -> int:
     """Use them; returns how many. What has run out since it was told is left out."""
     cluster, used = engine.cluster, 0
     since_us = now_us - told.at_us
--- a/src/tideusher/core/lead/standby.py
+++ b/src/tideusher/core/lead/standby.py
@@ -17,7 +17,7 @@
 from tideusher.core.model.job_record import is_final
 
 #: Changes applied in one piece, records compared with the picture in one, and stamps at a takeover: some 3 ms each.
-PIECE, AUDITED, CHECKED = 60, 200, 4000
+CHANGES_PER_STEP, AUDITED, CHECKED = 60, 200, 4000
 #: So many of the records that differ are named in the log.
 NAMED = 5
 
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Caught:
+class CatchUpResult:
     """What a takeover found of the picture that was followed."""
 
     cluster_state: ClusterState
@@ -54,7 +54,7 @@
         self._record_of, self._mirror = record_of, mirror
         self._changes: deque[tuple[str, Any, int, bool]] = deque()
         self._to_audit: deque[str] = deque()
-        self._picture: ClusterState | None = None
+        self._cluster_state: ClusterState | None = None
         self._to_check: list[str] | None = None  # at a takeover: records whose stamps have yet to be compared
         self._late, self._twice = 0, False
         self.rebuilds = 0
@@ -63,7 +63,7 @@
 
     def begin(self, now_us: int) -> None:
         """Build from all that is mirrored: at the start, after a leadership, or because a difference was found."""
-        self._picture = ClusterState(self._config, self._policy, now_us, self._wall_us, self._record_of)
+        self._cluster_state = ClusterState(self._config, self._policy, now_us, self._wall_us, self._record_of)
         self._changes.clear()
         self._to_audit.clear()
         self._to_check = None
@@ -73,11 +73,11 @@
 
     def end(self) -> None:
         """We lead: the picture is the leader's now."""
-        self._picture, self._to_check, self._twice = None, None, False
+        self._cluster_state, self._to_check, self._twice = None, None, False
         self._changes.clear()
         self._to_audit.clear()
 
-    def drop(self) -> None:
+    def invalidate(self) -> None:
         """The picture may be half changed: the next audit begins a new one."""
         self.rebuilds += 1
         self.end()
@@ -85,7 +85,7 @@
     @property
     def cluster_state(self) -> ClusterState | None:
         """What was followed so far; None: nothing yet, or we lead."""
-        return self._picture
+        return self._cluster_state
 
     @property
     def behind(self) -> int:
@@ -94,17 +94,17 @@
 
     def changed(self, key: str, value: Any, stamp: int) -> bool:
         """A record changed; True if nothing else waited, so that somebody has to ask for a piece."""
-        if self._picture is None:
+        if self._cluster_state is None:
             return False
         self._changes.append((key, value, stamp, False))
         return len(self._changes) == 1
 
-    def piece(self, now_us: int) -> bool:
+    def apply_step(self, now_us: int) -> bool:
         """Apply a bounded number of changes; True if there are more."""
-        cluster_state = self._picture
+        cluster_state = self._cluster_state
         if cluster_state is None:
             return False
-        left = PIECE
+        left = CHANGES_PER_STEP
         while self._changes and left > 0:
             key, value, stamp, was_there = self._changes.popleft()
             left -= _records_in(key, value) if was_there else 1  # of a page that changes, few records do
@@ -117,7 +117,7 @@
 
     def audit(self, now_us: int) -> list[str]:
         """Compare some records with the picture; builds it anew and returns their keys if any differ."""
-        cluster_state, mirror = self._picture, self._mirror()
+        cluster_state, mirror = self._cluster_state, self._mirror()
         if cluster_state is None or self._changes:
             return []  # with changes to come it may differ
         if not self._to_audit:
@@ -127,7 +127,7 @@
             key = self._to_audit.popleft()
             stored = mirror.get(key)
             left -= 1 if stored is None else _records_in(key, stored.value)
-            if stored is not None and not cluster_state.says(key, stored.value):
+            if stored is not None and not cluster_state.matches(key, stored.value):
                 wrong.append(key)
         stray = [
             name
@@ -140,7 +140,7 @@
 
     def _rebuild(self, wrong: list[str], now_us: int) -> None:
         self.rebuilds += 1
-        cluster_state, mirror = self._picture, self._mirror()
+        cluster_state, mirror = self._cluster_state, self._mirror()
         told = [
             cluster_state.describe_mismatch(key, mirror[key].value) if cluster_state and key in mirror else key
             for key in wrong[:NAMED]
@@ -151,17 +151,17 @@
 
     # ---------------------------------------------------------------- taking over
 
-    def catch_up(self, now_us: int) -> Caught | None:
+    def catch_up(self, now_us: int) -> CatchUpResult | None:
         """The picture, once it holds every record that the mirror does; None: ask again, a piece was done.
 
         Whoever asks has read newer than the election. Records that were never handed to us (a planted fault, a
         listener that failed) are found by their stamps, whatever they say.
         """
-        if self._picture is None:
+        if self._cluster_state is None:
             self.begin(now_us)
-        if self.piece(now_us):
+        if self.apply_step(now_us):
             return None
-        cluster_state, mirror = self._picture, self._mirror()
+        cluster_state, mirror = self._cluster_state, self._mirror()
         assert cluster_state is not None
         if self._to_check is None:
             self._to_check, self._late = list(mirror), 0
@@ -181,14 +181,14 @@
             self._twice = True
             self._rebuild(["records that were never told"], now_us)
             return None
-        caught = Caught(cluster_state, self._late, self._twice)
+        caught = CatchUpResult(cluster_state, self._late, self._twice)
         self.end()
         return caught
 
     @staticmethod
     def _true(cluster_state: ClusterState, mirror: Mapping[str, Record]) -> bool:
         """After records that were not told in their order: does the picture say what all of them say?"""
-        return all(cluster_state.says(key, stored.value) for key, stored in mirror.items())
+        return all(cluster_state.matches(key, stored.value) for key, stored in mirror.items())
 
 
 def _records_in(key: str, value: Any) -> int:
--- a/src/tideusher/core/model/audit.py
+++ b/src/tideusher/core/model/audit.py
@@ -21,7 +21,7 @@
     machines: dict[str, Machine]
     rentals: dict[str, Rental]
     usage: dict[str, list[float]]
-    falls: dict[str, tuple[dict[str, Any], int]]
+    mass_failures: dict[str, tuple[dict[str, Any], int]]
     unsettled: dict[str, None]
     orphans: dict[str, int]
     stamps: dict[str, int]
@@ -72,14 +72,14 @@
         "usage": {team: [round(v, 6) for v in use] for team, use in cluster_state.usage.items() if any(use)},
         "types": sorted(cluster_state.types),
         "charged": {team: round(cluster_state.ledger.charged(team), 3) for team in cluster_state.teams},
-        "falls": sorted(cluster_state.falls),
+        "falls": sorted(cluster_state.mass_failures),
         "unsettled": sorted(cluster_state.unsettled),
         "orphans": sorted(cluster_state.orphans.items()),
         "stamps": dict(sorted(cluster_state.stamps.items())),
     }
 
 
-def says(cluster_state: Pictured, key: str, value: Any) -> bool:
+def matches(cluster_state: Pictured, key: str, value: Any) -> bool:
     """Does the picture say what this record says? What a forgotten transition would leave behind, it does not."""
     if key.startswith(keys.CHUNK_PREFIX):
         return _says_chunk(cluster_state, key, value)
--- a/src/tideusher/core/model/cluster_state.py
+++ b/src/tideusher/core/model/cluster_state.py
@@ -83,7 +83,7 @@
         self.zones = ZoneContacts(to_us(settings.workers.report_s) if settings.workers else 0)
         #: Machines whose return was confirmed: one that reports all the same is returned again.
         self.gone: set[str] = set()
-        self.falls: dict[str, tuple[dict[str, Any], int]] = {}
+        self.mass_failures: dict[str, tuple[dict[str, Any], int]] = {}
         #: Where the first tasks of each job are on record.
         self.placements = Placements(self._is_open)
         #: Does the stored fence keep versions out that do not read pages?
@@ -122,9 +122,9 @@
             self._rental(key[len(keys.RENTAL_PREFIX) :], value, now_us)
         elif key.startswith(keys.FALL_PREFIX):
             if value is None:
-                self.falls.pop(key, None)
+                self.mass_failures.pop(key, None)
             else:
-                self.falls[key] = (value, stamp)
+                self.mass_failures[key] = (value, stamp)
         elif key == keys.TYPES and value is not None:
             self.set_machine_types(msgspec.convert(value, list[MachineType]))
         elif key == keys.RATIOS and value is not None:
@@ -468,9 +468,9 @@
         """All that a record says, in plain values: the same for a follower and a rebuild, whatever came when."""
         return audit.comparable(self)
 
-    def says(self, key: str, value: Any) -> bool:
+    def matches(self, key: str, value: Any) -> bool:
         """Does the picture say what this record says?"""
-        return audit.says(self, key, value)
+        return audit.matches(self, key, value)
 
     def describe_mismatch(self, key: str, value: Any) -> str:
         """What of a record the picture does not say, for the log."""
--- a/src/tideusher/core/model/contacts.py
+++ b/src/tideusher/core/model/contacts.py
@@ -66,7 +66,7 @@
             lines.append(Seen(name, worker.address, silent_ms))
         return lines, since
 
-    def stood_still(self, for_us: int, now_us: int) -> None:
+    def process_paused(self, for_us: int, now_us: int) -> None:
         """We did not listen for so long until now: nobody was silent in that time as far as we can tell."""
         for worker in self._workers.values():
             worker.last_us = min(now_us, worker.last_us + for_us)
@@ -154,7 +154,7 @@
         since_us, last_us = self._heard.get(zone, (now_us, now_us))
         self._heard[zone] = (since_us if now_us - last_us < self._gap_us else now_us, now_us)
 
-    def stood_still(self, now_us: int) -> None:
+    def process_paused(self, now_us: int) -> None:
         """We did not listen until now: that nobody was heard says nothing, and silence counts from here."""
         self._heard = dict.fromkeys(self._heard, (now_us, now_us))
 
--- a/src/tideusher/core/model/pages.py
+++ b/src/tideusher/core/model/pages.py
@@ -125,7 +125,7 @@
         """A transaction is put together from what is known now."""
         self._given_up.clear()
 
-    def give_up(self, member: str) -> None:
+    def drop_member(self, member: str) -> None:
         """Nobody wants the member any more: it is left out when its page is written next."""
         page = self._homes.pop(member, None)
         if page is None:
--- a/src/tideusher/core/model/records.py
+++ b/src/tideusher/core/model/records.py
@@ -334,7 +334,7 @@
     session: int = 0
     serial: int = 0
     #: (session, serial) of the newest report that it sent by itself: answers to earlier ones do nothing any more.
-    closed: tuple[int, int] = (0, 0)
+    latest_own_report: tuple[int, int] = (0, 0)
     ignored_answers: int = 0  # answers in a row that had no effect
     ignored_answer_us: int = 0  # when the last of these was found
     unresponsive_until_us: int = 0  # nothing is placed there until then
--- a/src/tideusher/core/model/write_queue.py
+++ b/src/tideusher/core/model/write_queue.py
@@ -63,13 +63,13 @@
         if old.key in self._lazy:
             self._lazy[old.key] = new
 
-    def give_up(self, entry: Entry) -> None:
+    def drop_member(self, entry: Entry) -> None:
         """Nobody wants what a page holds for the entry: it costs no write of its own to leave it out."""
         self._forget(entry)
         entry.effects, entry.dirty = [], False
-        self._pages.give_up(entry.member)
+        self._pages.drop_member(entry.member)
 
-    def clean(self, entry: Entry) -> bool:
+    def is_written(self, entry: Entry) -> bool:
         """Is the entry's present value in the state service?"""
         return not entry.dirty and (self._in_flight is None or entry not in self._in_flight.entries)
 
@@ -137,7 +137,7 @@
             entry.effects = []
             return True
         if value is None and not entry.stamp and not entry.effects:
-            self.give_up(entry)  # only a page holds it
+            self.drop_member(entry)  # only a page holds it
             return True
         if not draft.add(entry, value):
             return False
@@ -165,7 +165,7 @@
 
     # ---------------------------------------------------------------- what became of it
 
-    def saved(self, revision: int) -> None:
+    def batch_committed(self, revision: int) -> None:
         """The batch in flight is through: take the new stamps, then let its effects be told."""
         batch, self._in_flight = self._in_flight, None
         assert batch is not None
@@ -182,7 +182,7 @@
         for entry in batch.entries:
             entry.settled()
 
-    def not_saved(self, stamp_of: Callable[[str], int], unknown: bool = True) -> None:
+    def batch_failed(self, stamp_of: Callable[[str], int], unknown: bool = True) -> None:
         """The batch failed, or its fate is `unknown`: all of it waits again, with stamps as now read.
 
         `stamp_of` must come from a read newer than the transaction. If the lost transaction applied
--- a/src/tideusher/embed/instance.py
+++ b/src/tideusher/embed/instance.py
@@ -173,7 +173,7 @@
         )
         cluster = self._engine.cluster
         cluster.set_types(self._settings.types())
-        cluster.rents = False
+        cluster.rents_machines = False
         self._kinds = {kind.name: kind for kind in self._settings.kinds}
         self._machines: dict[str, LocalMachine] = {}
         for one in self._settings.machines:
@@ -255,7 +255,7 @@
             if told is not None:
                 return told
             status = self._status(job)
-            reason = "It is done." if status.status == DONE else explain.told_end(status.why or "")
+            reason = "It is done." if status.status == DONE else explain.describe_end(status.why or "")
             return {"job": job, "status": status.status, "reasons": [reason], "stops": []}
 
     def add_machine(self, card: Card) -> None:
@@ -348,7 +348,7 @@
         cluster = self._engine.cluster
         cluster.own_machines.add([(card.machine, card.kind, card.zone)], now_us)
         cluster.machines[card.machine].images["program"] = 0.0
-        cluster.touched[card.machine] = cluster.machines[card.machine]
+        cluster.pending_machines[card.machine] = cluster.machines[card.machine]
         self._machines[card.machine] = LocalMachine(card, self._kinds[card.kind], self._spec_of)
 
     def _check(self, spec: JobSpec) -> None:
@@ -471,15 +471,15 @@
             if task.machine not in self._machines:
                 continue  # said again, after its machine has left
             self._machines[task.machine].exited(task, cause, kept)
-            engine.cluster.touched[task.machine] = engine.cluster.machines[task.machine]
+            engine.cluster.pending_machines[task.machine] = engine.cluster.machines[task.machine]
         if now_us - self._gathered_us >= self._gather_us:
             self._gathered_us = now_us
             engine.cluster.gather(now_us)
         told = self._digest(now_us)
-        engine.cluster.own_machines.hear(now_us)
+        engine.cluster.own_machines.refresh_contact(now_us)
         more = engine.tick(now_us)
         while more:
-            more = engine.go_on()
+            more = engine.continue_pass()
         self._persist(now_us)
         begun: list[Started] = []
         ended: list[Started] = []
@@ -489,11 +489,11 @@
                 begun += started
                 ended += stopped
                 if machine.changed or machine.has_exited:  # it is to be forgotten, now that its end is kept
-                    engine.cluster.touched[machine.name] = engine.cluster.machines[machine.name]
+                    engine.cluster.pending_machines[machine.name] = engine.cluster.machines[machine.name]
             told = self._digest(now_us) if left else []
             if not told:
                 break
-        for name in engine.cluster.own_machines.leave(now_us):
+        for name in engine.cluster.own_machines.remove_drained(now_us):
             del self._machines[name]
         engine.orders()  # what goes to machines directly went with their reports
         try:
@@ -502,7 +502,7 @@
         except (StorageError, Damaged) as error:
             self._over(error)
             raise
-        return begun, ended, engine.cluster.dirty or bool(engine.cluster.touched)
+        return begun, ended, engine.cluster.dirty or bool(engine.cluster.pending_machines)
 
     def _persist(self, now_us: int) -> None:
         """Queue all that is to be written, then one write to the disk for all of it.
@@ -515,10 +515,10 @@
         while (batch := engine.batch()) is not None:
             revision = self._state.write(batch.guards, batch.writes)
             if revision is None:  # a job's record changed since: write what still holds
-                engine.not_saved(self._state.stamp_of, unknown=False)
+                engine.batch_failed(self._state.stamp_of, unknown=False)
                 continue
             told = told or any(batch.effects)
-            engine.saved(revision, now_us)
+            engine.batch_committed(revision, now_us)
         if told or self._synced < self._asked:
             self._sync()
 
@@ -531,11 +531,13 @@
         cluster = self._engine.cluster
         if now_us - self._reported_us >= to_us(REPORT_S) // 2:
             self._reported_us = now_us
-            cluster.touched.update(cluster.machines)
-        touched = [self._machines[name] for name in sorted(cluster.touched)]  # whatever order the program has
-        cluster.touched.clear()
+            cluster.pending_machines.update(cluster.machines)
+        pending_machines = [
+            self._machines[name] for name in sorted(cluster.pending_machines)
+        ]  # whatever order the program has
+        cluster.pending_machines.clear()
         answer, token = self._engine.reports.answer, self._engine.token
-        return [(machine, answer(machine.report(token), now_us)) for machine in touched]
+        return [(machine, answer(machine.report(token), now_us)) for machine in pending_machines]
 
     def _exited(self, task: Started, cause: str, kept: bool) -> None:
         """Called by the program, in any thread, with or without the lock."""
--- a/src/tideusher/metrics.py
+++ b/src/tideusher/metrics.py
@@ -41,11 +41,11 @@
                 label = "others"
             self.counts[name, label] += 1
 
-    def waited(self, job_class: str, seconds: float) -> None:
+    def observe_wait(self, job_class: str, seconds: float) -> None:
         """A task began to run so long after its job was submitted."""
         self._waits.append((job_class, seconds))
 
-    def ran(self, job_class: str, seconds: float) -> None:
+    def observe_run_time(self, job_class: str, seconds: float) -> None:
         """A task completed after running so long."""
         self._runs.append((job_class, seconds))
 
@@ -53,11 +53,11 @@
         """A fall became known so long after the first of its machines was last heard."""
         self._detected.append((zone, seconds))
 
-    def whole(self, zone: str, seconds: float) -> None:
+    def observe_recovery(self, zone: str, seconds: float) -> None:
         """All that a fall took was whole again so long after it began."""
         self._whole.append((zone, seconds))
 
-    def checked(self, phase: str, seconds: float) -> None:
+    def observe_takeover_phase(self, phase: str, seconds: float) -> None:
         """A phase of a takeover was over so long after its election, or as `docs/standby.md` says."""
         self._checks.append((phase, seconds))
 
--- a/src/tideusher/node.py
+++ b/src/tideusher/node.py
@@ -21,7 +21,7 @@
 from tideusher.clock import Clock, to_s, to_us
 from tideusher.config import Config, Policy
 from tideusher.core.decide.cancellations import TOLD, Cancellations
-from tideusher.core.decide.succession import Standing
+from tideusher.core.decide.succession import Candidate
 from tideusher.core.model import keys
 from tideusher.core.model.contacts import LocalContacts, WorkerContacts
 from tideusher.core.model.records import JOB_CANCELLED
@@ -57,7 +57,7 @@
         self.peers = Peers(config, self._clock, self._hello, self._answer_hello, self._told)
         self.contacts = WorkerContacts(self.own, self.peers.speaks)
         self.leader.hear_sightings(self.contacts)
-        self.election.hear(self._standing, self.peers.standings, lambda token: self.leader.tell("tick"))
+        self.election.set_sources(self._standing, self.peers.standings, lambda token: self.leader.tell("tick"))
         self.store.hear_demands(self.peers.demands)
         #: What is on a machine longer than that after its cancellation broke the rule already.
         settings = config.settings
@@ -136,11 +136,11 @@
         if key.startswith(keys.JOB_PREFIX) and value is not None and value["st"] == JOB_CANCELLED:
             self.cancellations.learn(key[len(keys.JOB_PREFIX) :], stamp, self._clock.now_us())
 
-    def _standing(self) -> Standing:
+    def _standing(self) -> Candidate:
         """This controller as a possible leader."""
         node, token = self.election.leader() or ("", 0)
         lost = token if token and self.peers.refuses(node) else 0
-        return Standing(
+        return Candidate(
             self._config.node,
             self._config.zone,
             self.in_contact(),
--- a/src/tideusher/pbs/storage.py
+++ b/src/tideusher/pbs/storage.py
@@ -34,7 +34,7 @@
     return base64.b64encode(zstandard.ZstdCompressor(level=LEVEL, write_checksum=True).compress(data)).decode()
 
 
-def expand(text: str, most: int = MAX_SCRIPT) -> bytes:
+def decompress_text(text: str, most: int = MAX_SCRIPT) -> bytes:
     """The inverse of `squeeze`, at most so many bytes whatever the frame says; raises Damaged."""
     import zstandard
 
@@ -63,7 +63,9 @@
 
 def unpack(values: list[dict[str, Any]]) -> tuple[Run, bytes]:
     """What `pack` was given; raises Damaged."""
-    head, newline, text = expand("".join(value["z"] for value in values), MAX_SCRIPT + MAX_TXN).partition(b"\n")
+    head, newline, text = decompress_text("".join(value["z"] for value in values), MAX_SCRIPT + MAX_TXN).partition(
+        b"\n"
+    )
     try:
         return msgspec.json.decode(head, type=Run), text
     except msgspec.DecodeError as error:
--- a/tests/region.py
+++ b/tests/region.py
@@ -133,11 +133,11 @@
                 del self.calls[name]
                 machine, is_ = cluster.machines.get(name), self.is_.get(name, DEAD)
                 if machine is not None and is_ in (UP, MUTE):
-                    cluster.falls.answered(machine, now)
+                    cluster.mass_failures.answered(machine, now)
                     Reports(cluster).look(self.workers[name].report(), now)
                 elif machine is not None and cluster.health.is_suspect(machine, now):
-                    cluster.falls.unanswered(machine, is_ == HANGS, due - 1_500_000, now)
-        look = cluster.look_at_silence(now, set(self.calls))
+                    cluster.mass_failures.unanswered(machine, is_ == HANGS, due - 1_500_000, now)
+        look = cluster.review_silent_machines(now, set(self.calls))
         for probe in look.probes:
             wait_s = 0.0 if self.is_.get(probe.machine.name) in (UP, MUTE) else 1.5
             self.calls[probe.machine.name] = now + round(wait_s * 1e6)
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -276,7 +276,7 @@
         node.cloud.types = lambda: [TYPE]
         node.cloud.machines = self._listed
         node.cloud.rent = lambda wish: self.rent(wish.name, wish.zone, wish.spot, wish.count)
-        node.cloud.give_back = self._give_back
+        node.cloud.request_return = self._give_back
         with self.time.inside(name):
             for part in (node.store, node.election, node.leader):
                 part.start()
@@ -555,9 +555,9 @@
         known = cluster.jobs.get(job) if cluster is not None else None
         if known is None:
             return False
-        spec, team, use = known.spec, cluster.teams.get(known.spec.team), cluster.use(known.spec.team)
+        spec, team, team_usage = known.spec, cluster.teams.get(known.spec.team), cluster.team_usage(known.spec.team)
         count = known.pending if known.is_gang else 1
-        if team is not None and team.gpus_max and use[1] + count * spec.gpus > team.gpus_max + 1e-6:
+        if team is not None and team.gpus_max and team_usage[1] + count * spec.gpus > team.gpus_max + 1e-6:
             return True
         slots = Counter()
         for machine in cluster.machines.values():
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -225,7 +225,7 @@
             for machine in cluster.health.suspects(now):
                 worker = self.workers.get(machine.name)
                 if worker is None or worker.dead:
-                    cluster.give_back(machine, "silent")
+                    cluster.request_return(machine, "silent")
         for _ in range(4):
             batch = cluster.write_queue.next_batch(8)
             if batch is None:
@@ -237,7 +237,7 @@
         if kind < 0.3:  # lost on the way, or given up on and applied later
             if kind < 0.2:
                 self.late_txns.append((now + self.rng.randrange(1, 30) * SECOND_US, batch))
-            cluster.write_queue.not_saved(self.state.stamp_of)
+            cluster.write_queue.batch_failed(self.state.stamp_of)
             return
         revision = self.state.txn(batch.guards, batch.writes)
         if revision is None or kind < 0.6:  # refused, or applied with the answer lost
@@ -245,7 +245,7 @@
                 if key.startswith(keys.JOB_PREFIX):
                     cluster.job_changed(key[len(keys.JOB_PREFIX) :], value, stamp, now)
             if self.state.stamp_of(keys.LEADER) == cluster.token:
-                cluster.write_queue.not_saved(self.state.stamp_of, unknown=revision is not None)
+                cluster.write_queue.batch_failed(self.state.stamp_of, unknown=revision is not None)
             return
         cluster.write_queue.batch_committed(revision)
 
@@ -357,7 +357,7 @@
             if self.state.stamp_of(keys.LEADER) != self.cluster.token:
                 return
             self.see_jobs()
-            self.cluster.write_queue.not_saved(self.state.stamp_of, unknown=False)
+            self.cluster.write_queue.batch_failed(self.state.stamp_of, unknown=False)
         raise AssertionError("the leader writes without end")
 
     def report(self, machine: str, serial: int, *tasks, session=1, token=None, zone="a", spot=False):
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -364,11 +364,11 @@
 
 def test_an_election_is_told_once_whichever_of_answer_and_watch_comes_first():
     told = []
-    store = SimpleNamespace(mirror={}, listen=lambda hear: None, contact_us=0)
+    store = SimpleNamespace(mirror={}, listen=lambda set_sources: None, contact_us=0)
     config, clock = make_config(), FakeClock()
     rng = SimpleNamespace(getrandbits=lambda bits: 7, random=lambda: 0.5)
     election = Election(config, Policy(), store, clock, rng)
-    election.hear(election._ours, list, told.append)
+    election.set_sources(election._ours, list, told.append)
     election._on_change(keys.LEADER, {"node": "n0", "nonce": "7"}, 41)
     election._leads(41)
     election._on_change(keys.LEADER, {"node": "n0", "nonce": "8"}, 42)  # a former life's, or another's
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -11,7 +11,7 @@
 from tideusher.actors.store import Conflict, Stored
 from tideusher.clock import SECOND_US
 from tideusher.config import Policy
-from tideusher.core.decide.succession import Standing
+from tideusher.core.decide.succession import Candidate
 from tideusher.core.lead import soft_state
 from tideusher.core.lead.standby import Standby
 from tideusher.core.model import keys
@@ -85,8 +85,8 @@
         self.node, self.service = node, service
         self.election = Election(config, Policy(), self.view, service.clock, random.Random(seed))
         self.others = []
-        ours = lambda: Standing(node, "ab"[seed % 2], True, behind=behind)  # noqa: E731
-        self.election.hear(ours, lambda: list(self.others), lambda token: None)
+        ours = lambda: Candidate(node, "ab"[seed % 2], True, behind=behind)  # noqa: E731
+        self.election.set_sources(ours, lambda: list(self.others), lambda token: None)
 
     def step(self):
         self.view.sync()
@@ -121,7 +121,7 @@
 
 def meet(lives):
     for name, life in lives.items():
-        life.others = [Standing(other, "a", True, behind=0) for other in lives if other != name]
+        life.others = [Candidate(other, "a", True, behind=0) for other in lives if other != name]
 
 
 def run(service, lives, seconds, until=lambda: False):
@@ -217,7 +217,7 @@
         run(service, lives, 0.15)
         lives["n0"] = Life(service, "n0", 200 + number)
         meet(lives)
-        lives["n0"].others = [Standing(n, "a", True, behind=0) for n in ("n1", "n2")]
+        lives["n0"].others = [Candidate(n, "a", True, behind=0) for n in ("n1", "n2")]
         for _ in range(3):
             run(service, lives, 0.05)
             led_s += 0.05 * (leader_of(lives) is not None)
@@ -260,7 +260,7 @@
     def step_down_reason(self):
         return ""
 
-    def stood_still(self, for_us, now_us):
+    def process_paused(self, for_us, now_us):
         self.told.append(for_us)
 
 
@@ -278,9 +278,9 @@
     zones.heard("a", bed.clock.now_us())
     for _ in range(3):
         bed.clock.pass_s(PASS_US / SECOND_US)
-        leader.on_beat()
+        leader.on_timer_tick()
     bed.clock.pass_s(still_s)
-    leader.on_beat()
+    leader.on_timer_tick()
     now_us = bed.clock.now_us()
     assert bool(election.told) is counts and (still_s * SECOND_US > STILL_US) is counts
     if counts:
@@ -293,10 +293,10 @@
     life = Life(service, "n0", 1)
     run(service, {"n0": life}, 3, lambda: life.leads)
     one = life.election
-    one.stood_still(2 * SECOND_US, service.clock.now_us())
+    one.process_paused(2 * SECOND_US, service.clock.now_us())
     assert one.token is not None  # its lease of 3 s holds
     service.clock.pass_s(8)
-    one.stood_still(8 * SECOND_US, service.clock.now_us())
+    one.process_paused(8 * SECOND_US, service.clock.now_us())
     assert one.token is None and one._lease is None and one._doubted()
     life.view.sync()
     assert not one._doubted()
@@ -309,7 +309,7 @@
     for lease in service.leases.values():
         lease[0] += for_s * SECOND_US
     service.clock.pass_s(for_s)
-    life.election.stood_still(for_s * SECOND_US, service.clock.now_us())
+    life.election.process_paused(for_s * SECOND_US, service.clock.now_us())
     return life
 
 
@@ -318,7 +318,7 @@
     led = []
     life = paused_life(service)
     before = life.election._last_token
-    life.election.hear(life.election._ours, life.election._others, led.append)
+    life.election.set_sources(life.election._ours, life.election._others, led.append)
     life.view.sync()
     stored = life.view.mirror[keys.LEADER]
     assert (stored.stamp, stored.value["nonce"]) == (before, life.election._nonce)
@@ -371,7 +371,7 @@
     for worker in region.workers.values():
         worker.answered_us += 30 * SECOND_US  # the leases are given their time: what is asked here is silence
     region.clock.pass_s(30)
-    zones.stood_still(region.clock.now_us())
+    zones.process_paused(region.clock.now_us())
     region._step()
     assert not region.calls and not region.cluster.to_return
     region.run(6)
@@ -383,5 +383,5 @@
 
 def test_zones_that_were_never_heard_stay_so():
     zones = ZoneContacts(SECOND_US)
-    zones.stood_still(9 * SECOND_US)
+    zones.process_paused(9 * SECOND_US)
     assert zones.since_us("a", 10 * SECOND_US) == 10 * SECOND_US
--- a/tests/test_background_calls.py
+++ b/tests/test_background_calls.py
@@ -24,7 +24,7 @@
 from tideusher.actors.halts import CALLED_AGAIN_US, HaltsForOthers
 from tideusher.actors.peers import Link
 from tideusher.config import Peer
-from tideusher.core.lead.cluster import Direct
+from tideusher.core.lead.cluster import DirectCommand
 from tideusher.core.model import keys
 from tideusher.metrics import Metrics
 from tideusher.wire import cloud as cloud_wire
@@ -47,7 +47,7 @@
 
 def stop(leader, machine, task):
     """The leader decides to stop the task at once."""
-    leader._engine.cluster.direct.append(Direct(machine, halt(task.name, task.attempt, 0.0)))
+    leader._engine.cluster.direct.append(DirectCommand(machine, halt(task.name, task.attempt, 0.0)))
     leader._act(leader._engine)
 
 
--- a/tests/test_compound_faults.py
+++ b/tests/test_compound_faults.py
@@ -162,7 +162,7 @@
         if cluster is not None and cluster.jobs:
             for team in ("red", "blue"):
                 on = [t for w in sim.workers.values() for t in w.on_machine() if sim.specs[t.job].team == team]
-                assert cluster.use(team)[1] + 1e-6 >= sum(sim.specs[task.job].gpus for task in on), (team, how)
+                assert cluster.team_usage(team)[1] + 1e-6 >= sum(sim.specs[task.job].gpus for task in on), (team, how)
     assert not any(there(sim, *full[:4]))
     all_run(sim, waiting)
 
@@ -478,7 +478,7 @@
 
     def proves(reports, task, report, new_session, now_us):
         newer = msgspec.structs.replace(report, token=reports._c.token)
-        task.machine.closed = max(task.machine.closed, (report.session, report.serial + 1))
+        task.machine.latest_own_report = max(task.machine.latest_own_report, (report.session, report.serial + 1))
         return absent(reports, task, newer, new_session, now_us)
 
     monkeypatch.setattr(Reports, "_absent", proves)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -9,7 +9,7 @@
 from tideusher.core.decide.gang_reservations import BEST, NONE, OTHER, GangReservations, Request
 from tideusher.core.decide.order import order_jobs
 from tideusher.core.decide.placement import FreeCapacity, part_of
-from tideusher.core.decide.preempt import Offers, PreemptibleTasks, Standing, choose_victims, protected_until_us
+from tideusher.core.decide.preempt import Offers, PreemptibleTasks, TeamStanding, choose_victims, protected_until_us
 from tideusher.core.model.ledger import NO_GUARANTEE, Ledger
 from tideusher.core.model.records import SEEN, UP, Job, Machine, Task
 
@@ -169,7 +169,7 @@
 
 def allowed(request, victim, asking=(0.0, True), holding=(0.0, True), now_us=10**12):
     def standing(team):
-        return Standing(*asking) if team == request.spec.team else Standing(*holding)
+        return TeamStanding(*asking) if team == request.spec.team else TeamStanding(*holding)
 
     judge = PreemptibleTasks([victim.job], standing, min_run, POLICY, now_us)
     return victim in judge.of(request, standing(request.spec.team))
--- a/tests/test_embed.py
+++ b/tests/test_embed.py
@@ -421,7 +421,7 @@
         self.serial = dict.fromkeys((card.machine for card in SETTINGS.machines), 0)
         self.zones = {card.machine: card.zone for card in SETTINGS.machines}
         self.report()
-        self.cluster.rents = False  # the fleet is what it is
+        self.cluster.rents_machines = False  # the fleet is what it is
         for machine in self.cluster.machines.values():
             machine.images["program"] = 0.0
 
@@ -474,7 +474,7 @@
                 busy = self.report()
                 more = self.engine.tick(self.bed.clock.us)
                 while more:
-                    more = self.engine.go_on()
+                    more = self.engine.continue_pass()
                 self.bed.commit()
                 busy = busy or self.cluster.dirty or bool(self.engine.orders().direct)
                 busy = busy or any(task.sent is None for task in self.placed())
--- a/tests/test_failing_messages.py
+++ b/tests/test_failing_messages.py
@@ -21,7 +21,7 @@
 #: Messages to a leader that change what it decides on, with arguments in the place of their own after the token.
 CHANGING = (
     "reports", "answered", "returned", "return_again", "rented", "rent_again", "listed", "types", "survey", "gather",
-    "job", "cancelled_elsewhere", "found", "unanswered", "unwritable", "saved", "not_saved", "go_on", "tick", "beat",
+    "job", "cancelled_elsewhere", "found", "unanswered", "unwritable", "batch_committed", "batch_failed", "continue_pass", "tick", "timer_tick",
 )  # fmt: skip
 
 
@@ -82,7 +82,7 @@
     names = sorted(cluster.machines)
     failed = fail_once(monkeypatch, Cluster, "lost")
     for name in names[:3]:
-        cluster.give_back(cluster.machines[name], "the test has it returned")
+        cluster.request_return(cluster.machines[name], "the test has it returned")
     sim.run(40.0)
     assert failed and all(len(sim.on_machines(spec.id)) == 1 for spec in specs)
     assert not any(name in sim.nodes[sim.leader()].leader._cluster.machines for name in names[:3])
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -57,7 +57,7 @@
     took_s = region.run(30, lambda: len(region.gone) == 1 + len(dying))
     assert took_s <= 1.5 * alone_s
     assert set(region.gone.values()) == {DEAD}
-    (mass_failure,) = falls(region.cluster)
+    (mass_failure,) = mass_failures(region.cluster)
     assert (mass_failure["machines"], mass_failure["zone"]) == (len(dying), "a")
     counts = region.cluster.metrics.counts  # one fall, in however many looks its machines were found
     assert (counts["falls", "a"], counts["fall_machines", "a"]) == (1, len(dying))
@@ -67,9 +67,9 @@
 def test_a_whole_zone_dies_and_its_controllers_say_so(region):
     region.turn(region.of("a"), DEAD)
     region.run(4)
-    region.cluster.falls.controller_only_zones = {"a"}
+    region.cluster.mass_failures.controller_only_zones = {"a"}
     region.run(10, lambda: len(region.gone) == 20)
-    assert len(region.gone) == 20 and "hears none of its workers" in falls(region.cluster)[0]["evidence"]
+    assert len(region.gone) == 20 and "hears none of its workers" in mass_failures(region.cluster)[0]["evidence"]
 
 
 def test_a_whole_zone_dies_with_its_controllers_and_only_the_clouds_list_tells(region):
@@ -79,7 +79,7 @@
     region.run(5, lambda: bool(region.gone))
     assert region.gone and region.asked_list  # asked more often than on its round
     region.run(3)
-    assert len(region.gone) == 20 and "list" in falls(region.cluster)[0]["evidence"]
+    assert len(region.gone) == 20 and "list" in mass_failures(region.cluster)[0]["evidence"]
 
 
 @pytest.mark.parametrize("seconds", [5, 12, 30])
@@ -90,13 +90,13 @@
     region.run(seconds)
     # At the end of the cut a controller of the zone may be heard before any worker is; what was called in
     # vain during the cut proves nothing then.
-    region.cluster.falls.controller_only_zones = {"a"}
+    region.cluster.mass_failures.controller_only_zones = {"a"}
     region.run(0.5)
     region.turn(region.of("a"), UP)
     region.run(1)
-    region.cluster.falls.controller_only_zones = set()
+    region.cluster.mass_failures.controller_only_zones = set()
     region.run(30)
-    assert not [name for name in region.gone if name.startswith("host-")] and not falls(region.cluster)
+    assert not [name for name in region.gone if name.startswith("host-")] and not mass_failures(region.cluster)
 
 
 def test_evidence_counted_after_it_was_void_would_return_a_zone(region, monkeypatch):
@@ -111,26 +111,26 @@
 
     region.turn(region.of("a"), CUT)
     region.run(12)
-    region.cluster.falls._open = Never()
-    region.cluster.falls.controller_only_zones = {"a"}
+    region.cluster.mass_failures._open = Never()
+    region.cluster.mass_failures.controller_only_zones = {"a"}
     region.run(0.5)
-    assert falls(region.cluster)
+    assert mass_failures(region.cluster)
 
 
 def test_a_call_made_before_the_way_was_known_says_nothing_though_it_ends_after(region):
     region.turn(region.of("a"), CUT)
     region.run(6)
-    calls, names = region.cluster.falls, region.of("a")
+    calls, names = region.cluster.mass_failures, region.of("a")
     called_us = region.clock.now_us()
-    region.cluster.falls.controller_only_zones = {"a"}
+    region.cluster.mass_failures.controller_only_zones = {"a"}
     region.run(0.25)
     region.calls.clear()
     for name in names[:10]:
         calls.unanswered(region.cluster.machines[name], False, called_us - 1, region.clock.now_us())
-    assert not region.cluster.look_at_silence(region.clock.now_us(), set(names)).fallen
+    assert not region.cluster.review_silent_machines(region.clock.now_us(), set(names)).fallen
     for name in names[:10]:
         calls.unanswered(region.cluster.machines[name], False, region.clock.now_us(), region.clock.now_us())
-    assert region.cluster.look_at_silence(region.clock.now_us(), set(names)).fallen
+    assert region.cluster.review_silent_machines(region.clock.now_us(), set(names)).fallen
 
 
 @pytest.mark.parametrize("seconds", [5, 12, 30])
@@ -146,7 +146,7 @@
     region.run(60)  # the rules are judged in each step
     assert all(region.up_of(spec) == 4 for spec in specs)
     if seconds > 5:  # nothing tells such a cut from a loss of power: the price is their images
-        assert falls(region.cluster)[0]["machines"] == len(away)
+        assert mass_failures(region.cluster)[0]["machines"] == len(away)
     late = [name for name, machine in region.cluster.machines.items() if name.startswith("new-")]
     assert len(late) <= len(away)
 
@@ -173,7 +173,7 @@
     region.run(2.0)
     assert not region.gone
     region.run(40)
-    assert "hangs for longer than a replacement takes" in falls(region.cluster)[0]["evidence"]
+    assert "hangs for longer than a replacement takes" in mass_failures(region.cluster)[0]["evidence"]
     assert region.up_of(spec) == 8
 
 
@@ -195,7 +195,7 @@
 
 def test_a_leader_that_no_call_leaves_returns_nobody(region):
     # A leader that a packet filter cuts off from workers hears those of other gateways and reaches none itself.
-    region.cluster.falls.answered = lambda machine, now_us: None
+    region.cluster.mass_failures.answered = lambda machine, now_us: None
     region.turn(region.of("a")[:15], CUT)
     region.run(25)
     assert not region.gone
@@ -219,9 +219,9 @@
     region.run(20)
     region.turn(region.of("b")[:10], DEAD)
     region.run(90)
-    assert [mass_failure["zone"] for mass_failure in falls(region.cluster)] == ["b", "a"]
+    assert [mass_failure["zone"] for mass_failure in mass_failures(region.cluster)] == ["b", "a"]
     assert all(region.up_of(spec) == 4 for spec in specs)
-    assert all(mass_failure["whole_after_s"] for mass_failure in falls(region.cluster))
+    assert all(mass_failure["whole_after_s"] for mass_failure in mass_failures(region.cluster))
 
 
 def test_machines_that_die_while_nobody_leads_and_between_probe_and_return(region):
@@ -259,7 +259,7 @@
     away += [name for name in region.of("a") if name not in away][:10]
     region.turn(away, CUT)
     region.run(10)
-    assert falls(region.cluster)[0]["machines"] == len(away)
+    assert mass_failures(region.cluster)[0]["machines"] == len(away)
     region.turn(away, UP)
     region.run(60)  # a return answered 503 for a minute: nothing is freed by time
     held = [region.cluster.machines[name] for name in away]
@@ -285,7 +285,7 @@
     region.turn(region.of("a"), DEAD)
     region.run(100)
     assert not region.gone
-    region.cluster.falls.controller_only_zones = {"a"}
+    region.cluster.mass_failures.controller_only_zones = {"a"}
     region.run(6)
     assert len(region.gone) == 20
 
@@ -306,7 +306,7 @@
     dying = region.of("a")[:12]
     region.turn(dying, DEAD)
     region.run(15)
-    assert falls(region.cluster) and not region.gone and not region.cluster.to_return
+    assert mass_failures(region.cluster) and not region.gone and not region.cluster.to_return
     region.writes = True
     region.run(1)
     assert set(region.gone) == set(dying)
@@ -351,7 +351,7 @@
     region.run(15)
     assert region.up_of(gone) == 4 and region.up_of(some) == 12  # before anything new could boot
     made_way = [text.split(" and job ")[1].split()[0] for text in caplog.messages if "needs the room" in text]
-    lost = region.cluster.recovery.falls.popitem()[1].jobs
+    lost = region.cluster.recovery.mass_failures.popitem()[1].jobs
     assert made_way[:4] == [gone.id] * 4 and set(made_way[4 : 4 + lost[some.id]]) == {some.id}
 
 
@@ -443,14 +443,14 @@
     region.turn(region.of("a")[:-1], DEAD)
     region.run(20, lambda: region.cluster.recovery.waiting() > 0)
     told = explain_job(region.cluster, spec.id, region.clock.now_us())
-    name = falls(region.cluster)[0]["fall"]
+    name = mass_failures(region.cluster)[0]["fall"]
     assert any(f"Fall {name}" in reason and "took 8 of its tasks" in reason for reason in told["reasons"])
-    waits = falls(region.cluster)[0]["still_waiting"][spec.id]
+    waits = mass_failures(region.cluster)[0]["still_waiting"][spec.id]
     assert waits.startswith("8 tasks wait for")
     assert any(f"(fall {name})" in stop["reason"] for stop in told["stops"])
     region.run(60)
     region.next_leader()
-    (mass_failure,) = falls(region.cluster)
+    (mass_failure,) = mass_failures(region.cluster)
     assert (
         mass_failure["fall"] == name
         and mass_failure["tasks_lost"] == 8
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -71,7 +71,7 @@
     bed.commit()
     bed.scheduler.schedule(bed.clock.now_us())
     lost = bed.cluster.write_queue.next_batch(8)  # its answer never comes
-    bed.cluster.write_queue.not_saved(bed.state.stamp_of)
+    bed.cluster.write_queue.batch_failed(bed.state.stamp_of)
     bed.commit()
     bed.report("host-1", 2)
     bed.report("host-1", 3, (f"{spec.id}/0", 1, "exited", "done"), (f"{spec.id}/1", 1, "running", None))
@@ -103,11 +103,11 @@
     bed.report("host-1", 2)
     bed.report("host-1", 3, *[(name, 1, "exited", "done") for name in names[:-1]])
     bed.commit()
-    bed.cluster.note_stop(placed, placed.live[CHUNK_TASKS], "it was moved")
+    bed.cluster.record_stop(placed, placed.live[CHUNK_TASKS], "it was moved")
     bed.report("host-1", 4, (names[-1], 1, "exited", "done"))
     queue = bed.cluster.write_queue
     while (batch := queue.next_batch(1)) is not None:
-        queue.saved(bed.state.txn(batch.guards, batch.writes))
+        queue.batch_committed(bed.state.txn(batch.guards, batch.writes))
     assert bed.state.items[keys.job_key(spec.id)][0]["st"] == JOB_DONE
 
 
@@ -190,7 +190,7 @@
     bed.scheduler.schedule(bed.clock.now_us())
     bed.commit()
     assert 0 in b.live
-    bed.cluster.give_back(bed.cluster.machines["host-1"], "a test")
+    bed.cluster.request_return(bed.cluster.machines["host-1"], "a test")
     bed.commit()
     assert 0 in b.live  # asked for is not yet gone
     bed.cluster.returned(["host-1"], bed.clock.now_us())
@@ -245,7 +245,7 @@
     for index in (0, 1):
         bed.report(names[index], 2)
         bed.report(names[index], 3, (f"{spec.id}/{index}", 1, "waiting", None))
-    bed.cluster.give_back(bed.cluster.machines[names[0]], "it died")
+    bed.cluster.request_return(bed.cluster.machines[names[0]], "it died")
     bed.commit()
     bed.cluster.returned([names[0]], bed.clock.now_us())
     bed.scheduler.schedule(bed.clock.now_us())
@@ -304,7 +304,7 @@
 def test_a_return_is_persisted_before_the_cloud_hears_and_binds_the_next_leader(bed):
     bed.report("host-1", 1)
     bed.commit()
-    bed.cluster.give_back(bed.cluster.machines["host-1"], "a test")
+    bed.cluster.request_return(bed.cluster.machines["host-1"], "a test")
     assert bed.cluster.to_return == []
     bed.commit()
     assert [m.name for m in bed.cluster.to_return] == ["host-1"]
@@ -320,7 +320,7 @@
 def test_a_machine_that_reports_after_its_return_goes_back(bed):
     bed.report("host-1", 1)
     bed.commit()
-    bed.cluster.give_back(bed.cluster.machines["host-1"], "a test")
+    bed.cluster.request_return(bed.cluster.machines["host-1"], "a test")
     bed.commit()
     bed.cluster.returned(["host-1"], bed.clock.now_us())
     bed.report("host-1", 2)
@@ -374,12 +374,12 @@
     for name in ("host-1", "host-2", "host-3", "host-4"):
         bed.report(name, 1)
     bed.clock.pass_s(15.0)
-    assert not bed.cluster.look_at_silence(bed.clock.now_us(), set()).fallen
+    assert not bed.cluster.review_silent_machines(bed.clock.now_us(), set()).fallen
     bed.report("host-1", 2)
     assert silent(bed) == []
     bed.clock.pass_s(1.0)
     bed.report("host-1", 3)
-    assert silent(bed) == [] and not bed.cluster.look_at_silence(bed.clock.now_us(), set()).fallen
+    assert silent(bed) == [] and not bed.cluster.review_silent_machines(bed.clock.now_us(), set()).fallen
 
 
 def test_an_inherited_fleet_is_not_overdue_at_the_change_of_leader(bed):
--- a/tests/test_leader_faults.py
+++ b/tests/test_leader_faults.py
@@ -10,7 +10,7 @@
 from tideusher.core.decide import bounds, reachability
 from tideusher.core.decide.fleet import PlannedRental
 from tideusher.core.lead import explain
-from tideusher.core.lead.cluster import Direct
+from tideusher.core.lead.cluster import DirectCommand
 from tideusher.core.lead.reports import Reports
 from tideusher.core.model import keys
 from tideusher.core.model.write_queue import Entry, WriteQueue
@@ -126,9 +126,9 @@
     assert placed.live[0].machine.name == "host-2" and placed.live[0].attempt == 2
     assert ops(bed.report("host-2", 2)) == [("run", f"{spec.id}/0", 2)]
     deaf = bed.cluster.machines["host-1"]
-    assert bed.cluster.falls.avoid_placement(deaf, bed.clock.now_us())
+    assert bed.cluster.mass_failures.avoid_placement(deaf, bed.clock.now_us())
     bed.clock.pass_s(11.0)
-    assert not bed.cluster.falls.avoid_placement(deaf, bed.clock.now_us())
+    assert not bed.cluster.mass_failures.avoid_placement(deaf, bed.clock.now_us())
 
 
 def test_reports_that_a_cut_held_up_and_that_come_at_once_make_no_machine_deaf(bed):
@@ -188,7 +188,7 @@
     batch = queue.next_batch(8)
     revision = state.txn(batch.guards, batch.writes)
     assert revision is not None
-    queue.saved(revision)
+    queue.batch_committed(revision)
     return batch
 
 
@@ -199,7 +199,7 @@
     entry = Entry("t/m/a", lambda: value[0], 0)
     queue.enqueue(entry)
     lost = queue.next_batch(8)
-    queue.not_saved(state.stamp_of)
+    queue.batch_failed(state.stamp_of)
     return state, queue, entry, value, lost
 
 
@@ -228,11 +228,11 @@
     entry = Entry("t/m/a", lambda: {"v": 1}, 0)
     queue.enqueue(entry, lambda: effects.append("told"))
     lost = queue.next_batch(8)
-    queue.not_saved(state.stamp_of)
+    queue.batch_failed(state.stamp_of)
     assert state.txn(lost.guards, lost.writes) is not None
     batch = queue.next_batch(8)
     assert state.txn(batch.guards, batch.writes) is None and effects == []
-    queue.not_saved(state.stamp_of, unknown=False)
+    queue.batch_failed(state.stamp_of, unknown=False)
     commit(queue, state)
     assert effects == ["told"]
     assert state.txn(lost.guards, lost.writes) is None
@@ -245,7 +245,7 @@
     bed.commit()
     bed.scheduler.schedule(bed.clock.now_us())
     lost = bed.cluster.write_queue.next_batch(8)
-    bed.cluster.write_queue.not_saved(bed.state.stamp_of)
+    bed.cluster.write_queue.batch_failed(bed.state.stamp_of)
     bed.elect()
     assert bed.state.txn(lost.guards, lost.writes) is None
     bed.report("host-1", 2)
@@ -263,7 +263,7 @@
     (rental,) = cluster.to_rent
     cluster.to_rent.clear()
     bed.report("host-9", 1)
-    cluster.give_back(cluster.machines["host-9"], "it is idle")
+    cluster.request_return(cluster.machines["host-9"], "it is idle")
     cluster.renting.rented(rental, ["host-9"], bed.clock.now_us())
     batch = cluster.write_queue.next_batch(8)
     assert not cluster.to_return
@@ -502,7 +502,7 @@
     assert tasks
     sim.calls = False  # each takes its time
     for task in tasks:
-        engine.cluster.direct.append(Direct(machine, halt(task.name, task.attempt, 0.0)))
+        engine.cluster.direct.append(DirectCommand(machine, halt(task.name, task.attempt, 0.0)))
         leader._act(engine)
     with caplog.at_level(logging.ERROR):
         sim.run(5.0)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -34,7 +34,7 @@
     queue.enqueue(entry("t/m/7-1"))
     first = [one.key for one in queue.next_batch(4).entries]
     assert first == ["t/m/7-1", "t/r/huge/0", "t/r/gang/0", "t/r/web/0"]
-    queue.saved(9)
+    queue.batch_committed(9)
     assert [one.key for one in queue.next_batch(4).entries] == [f"t/r/huge/{number}" for number in range(1, 5)]
 
 
@@ -52,7 +52,7 @@
     """25,000 tasks of 4 s: all that the cloud had was rented, and came up when the array was over."""
     region = Region(a=20, b=0, boot_s=25.0)
     small = job(tasks=6000, cpus=0.25, gpus=0.0, ram_gb=0.9, estimate_s=4.0, team="poor", spot=True)
-    region.cluster.rents = True
+    region.cluster.rents_machines = True
     region.submit(small)
     for _ in range(3):
         region.scheduler.schedule(region.clock.now_us())
@@ -124,7 +124,7 @@
     machine.failures_by_job[other.spec.id] = 1
     assert task_failures.judge(machine, bed.cluster.jobs, 0) == task_failures.SUSPECT
     now_us = bed.clock.now_us()
-    bed.cluster.look_at_failures(machine, now_us)
+    bed.cluster.check_failures(machine, now_us)
     bed.scheduler.schedule(now_us)
     assert (
         machine.suspect_since_us and not machine.tasks and bed.cluster.machines["host-2"].tasks
@@ -330,5 +330,5 @@
 def test_a_worker_heard_while_the_leader_was_late_is_not_heard_in_the_future():
     own = LocalContacts(SECOND_US)
     own.heard("host-1", "a", "x", 9 * SECOND_US)
-    own.stood_still(5 * SECOND_US, 10 * SECOND_US)
+    own.process_paused(5 * SECOND_US, 10 * SECOND_US)
     assert own.last("host-1") == (10 * SECOND_US, "x")
--- a/tests/test_pbs.py
+++ b/tests/test_pbs.py
@@ -30,7 +30,7 @@
     split_list,
 )
 from tideusher.pbs.script import MAX_SCRIPT
-from tideusher.pbs.storage import Damaged, TooLong, expand, pack, squeeze, unpack
+from tideusher.pbs.storage import Damaged, TooLong, decompress_text, pack, squeeze, unpack
 from tideusher.pbs.translate import Run
 from tideusher.wire.arrays import parse_indexes
 from tideusher.wire.jobs import parse_job
@@ -230,7 +230,7 @@
     bomb = squeeze(b"\0" * (64 << 20))
     assert len(bomb) < 16_000
     with pytest.raises(Damaged, match="says to unpack to 67108864"):
-        expand(bomb)
+        decompress_text(bomb)
 
 
 # Through a node
--- a/tests/test_record_orders.py
+++ b/tests/test_record_orders.py
@@ -134,8 +134,8 @@
     rebuilt = records.cluster_state()
     assert follower.comparable() == rebuilt.comparable()
     for key, (value, _) in records.state.read_all().items():
-        assert follower.says(key, value), key
-        assert rebuilt.says(key, value), key
+        assert follower.matches(key, value), key
+        assert rebuilt.matches(key, value), key
 
 
 PAGE = ("tasks", (0, 0), True, {0: "host-1"}, 0)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 from tideusher.core.decide.fleet import Bin, Bins, Fleet
 from tideusher.core.decide.mass_failures import SAMPLE
 from tideusher.core.decide.placement import Demand, FreeCapacity, PlacementCache, slots_in
-from tideusher.core.decide.preempt import Offers, PreemptibleTasks, Standing, choose_victims, protected_until_us
+from tideusher.core.decide.preempt import Offers, PreemptibleTasks, TeamStanding, choose_victims, protected_until_us
 from tideusher.core.decide.refusal_cache import RefusalCache
 from tideusher.core.lead import scheduler
 from tideusher.core.model import keys
@@ -120,7 +120,7 @@
 def test_the_same_is_stopped_as_when_every_task_is_judged_for_every_place(seed):
     rng = random.Random(seed)
     machines, jobs = fleet_of(rng, 40)
-    standings = {team: Standing(rng.random(), rng.random() < 0.5) for team in ("red", "blue", "poor")}
+    standings = {team: TeamStanding(rng.random(), rng.random() < 0.5) for team in ("red", "blue", "poor")}
     now_us = 20 * SECOND_US
     judge = PreemptibleTasks(jobs, standings.__getitem__, minimum, POLICY, now_us)
     offers = Offers(lambda t: 0)
@@ -157,11 +157,11 @@
         judged.append(one.spec.id)
         return minimum(one)
 
-    standing = {"red": Standing(0.1, True), "blue": Standing(0.9, False), "poor": Standing(0.9, False)}
+    standing = {"red": TeamStanding(0.1, True), "blue": TeamStanding(0.9, False), "poor": TeamStanding(0.9, False)}
     judge = PreemptibleTasks(jobs, standing.__getitem__, counted, POLICY, 20 * SECOND_US)
     requests = [Job(job("service", 1, priority="urgent", estimate_s=0.0), 1, 0, 0) for _ in range(50)]
     # Half of them stand a little differently, and may claim the same.
-    asking = [Standing(0.1 + 0.01 * (number % 2), True) for number in range(50)]
+    asking = [TeamStanding(0.1 + 0.01 * (number % 2), True) for number in range(50)]
     found = [judge.of(request, one) for request, one in zip(requests, asking, strict=True)]
     shared = all(victims is found[0] for victims in found)
     # (What is compared below are numbers and names: a failure that prints a fleet takes minutes.)
@@ -229,7 +229,9 @@
             return super().values()
 
     machines = Counted()
-    cluster.machines = cluster.cluster_state.machines = cluster.health._machines = cluster.falls._machines = machines
+    cluster.machines = cluster.cluster_state.machines = cluster.health._machines = cluster.mass_failures._machines = (
+        machines
+    )
     for serial in (1, 2):
         for number in range(50):
             bed.report(f"host-{number}", serial)
@@ -243,9 +245,9 @@
         zone = "a" if number % 2 else "b"
         bed.report(f"host-{number}", 1, zone=zone)
     clock.pass_s(10.0)
-    probing = {probe.machine.name for probe in cluster.look_at_silence(clock.now_us(), set()).probes}
+    probing = {probe.machine.name for probe in cluster.review_silent_machines(clock.now_us(), set()).probes}
     assert len(probing) == 2 * SAMPLE  # both zones are silent
-    assert cluster.look_at_silence(clock.now_us(), probing).probes == []
+    assert cluster.review_silent_machines(clock.now_us(), probing).probes == []
 
 
 def test_the_largest_records_stay_within_the_smallest_value_limit_seen():
@@ -373,8 +375,8 @@
     monkeypatch.setattr(scheduler, "PIECE_LOOKS", 10**9)
     at_once.scheduler.schedule(at_once.clock.now_us())
     monkeypatch.setattr(scheduler, "PIECE_LOOKS", 40)
-    pieces = sum(1 for _ in in_pieces.scheduler.pieces(in_pieces.clock.now_us()))
-    assert pieces > 8 and decisions(at_once) == decisions(in_pieces)
+    pass_steps = sum(1 for _ in in_pieces.scheduler.pass_steps(in_pieces.clock.now_us()))
+    assert pass_steps > 8 and decisions(at_once) == decisions(in_pieces)
     assert decisions(at_once)[0]
 
 
@@ -409,15 +411,17 @@
     looks = []
     place = FreeCapacity.place
     monkeypatch.setattr(FreeCapacity, "place", lambda room, *more: looks.append(1) or place(room, *more))
-    pieces = sum(1 for _ in bed.scheduler.pieces(bed.clock.now_us()))
+    pass_steps = sum(1 for _ in bed.scheduler.pass_steps(bed.clock.now_us()))
     assert len(looks) <= 2 and sum(one.waits for one in bed.cluster.active.values()) == 580
-    assert bed.scheduler.rest_us(pieces) == 580 * scheduler.REST_JOB_US  # at most a tenth of a second for as many
+    assert (
+        bed.scheduler.pause_us(pass_steps) == 580 * scheduler.PAUSE_PER_JOB_US
+    )  # at most a tenth of a second for as many
     # A place that comes free is looked at again at once.
     (task,) = next(one for one in bed.cluster.active.values() if one.live).live.values()
-    before, looks[:] = bed.cluster.opened, []
+    before, looks[:] = bed.cluster.capacity_changes, []
     bed.cluster.free(task, bed.clock.now_us())
     bed.scheduler.schedule(bed.clock.now_us())
-    assert bed.cluster.opened == before + 1 and len(looks) >= 1 and task.machine.tasks
+    assert bed.cluster.capacity_changes == before + 1 and len(looks) >= 1 and task.machine.tasks
 
 
 def test_no_piece_looks_at_more_machines_than_its_bound_and_one_job_more(monkeypatch):
@@ -434,7 +438,7 @@
     monkeypatch.setattr(FreeCapacity, "place", counted)
     monkeypatch.setattr(scheduler, "PIECE_LOOKS", 100)
     most = before = 0
-    for _ in bed.scheduler.pieces(bed.clock.now_us()):
+    for _ in bed.scheduler.pass_steps(bed.clock.now_us()):
         most, before = max(most, looks - before), looks
     assert looks > 300 and 0 < most <= 100 + 2 * 30  # a job may look twice
 
@@ -448,12 +452,12 @@
     bed.report("host-2", 1)
     first, second, third = (bed.submit(job("service", 1, gpus=2.0, cpus=8.0)) for _ in range(3))
     bed.commit()
-    going = bed.scheduler.pieces(clock.now_us())
+    going = bed.scheduler.pass_steps(clock.now_us())
     while not any(one.live for one in (first, second, third)):
         next(going)
     ((used,),) = [[t.machine for t in one.live.values()] for one in (first, second, third) if one.live]
     waiting = [one for one in (first, second, third) if not one.live]
-    cluster.give_back(used, "a test asks for it")
+    cluster.request_return(used, "a test asks for it")
     assert bed.state.cancel(waiting[0].spec.id)
     bed.see_jobs()
     for _ in going:
@@ -468,10 +472,10 @@
     def __init__(self, done):
         self.done = done
 
-    def rest_us(self, pieces):
+    def pause_us(self, pass_steps):
         return 0
 
-    def pieces(self, now_us):
+    def pass_steps(self, now_us):
         for number in range(3):
             self.done.append(f"piece {number}")
             yield
@@ -508,12 +512,12 @@
     while done.count("end") < 1:
         gevent.sleep(0)
     served.kill()
-    pieces = [one for one in done if one != "report"]
-    assert pieces[:4] == ["piece 0", "piece 1", "piece 2", "end"]
+    pass_steps = [one for one in done if one != "report"]
+    assert pass_steps[:4] == ["piece 0", "piece 1", "piece 2", "end"]
     assert "report" in done[: done.index("end")]
     # One that stepped down in between does not go on with the old pass.
-    leader._engine, engine._pass = None, Slices(done).pieces(0)
-    leader.on_go_on(engine)
+    leader._engine, engine._pass = None, Slices(done).pass_steps(0)
+    leader.on_continue_pass(engine)
     assert done.count("end") == 1 and done.count("piece 0") == 1
 
 
--- a/tests/test_shared_records.py
+++ b/tests/test_shared_records.py
@@ -13,10 +13,10 @@
 from test_standby import Follower, Node, rebuilt
 from test_storm import random_job
 from tideusher.config import Policy, StateSettings, Team
-from tideusher.core.decide.succession import Standing, all_read_pages, leader_cannot_read_pages
+from tideusher.core.decide.succession import Candidate, all_read_pages, leader_cannot_read_pages
 from tideusher.core.lead.cluster import Cluster
 from tideusher.core.lead.scheduler import Scheduler
-from tideusher.core.lead.standby import PIECE
+from tideusher.core.lead.standby import CHANGES_PER_STEP
 from tideusher.core.model import keys, transactions
 from tideusher.core.model.cluster_state import ClusterState
 from tideusher.core.model.entries import Entry
@@ -174,7 +174,7 @@
         while (batch := queue.next_batch(12)) is not None:
             assert len(batch.guards) <= 48
             looks += len(batch.entries)
-            queue.saved(state.txn(batch.guards, batch.writes))
+            queue.batch_committed(state.txn(batch.guards, batch.writes))
         return looks
 
     for entry in entries:
@@ -220,7 +220,7 @@
     for one in placed:
         if one.spec.id in pages_of(bed.state)[key]:
             for _ in range(2):  # a stop on record is some hundred bytes
-                bed.cluster.note_stop(one, one.live[0], "a reason that takes some room " * 2)
+                bed.cluster.record_stop(one, one.live[0], "a reason that takes some room " * 2)
     bed.commit()
     assert all(len(msgspec.json.encode(value)) <= LIMIT for value in pages_of(bed.state).values())
     assert on_record(bed.state) == in_memory(bed.cluster) and len(pages_of(bed.state)) > 1
@@ -284,13 +284,13 @@
             revision = state.txn(batch.guards, batch.writes) if fate > 0.15 else None
             assert revision is not None or fate <= 0.15
             if fate < 0.3:
-                queue.not_saved(state.stamp_of)
+                queue.batch_failed(state.stamp_of)
             else:
-                queue.saved(revision)
+                queue.batch_committed(revision)
         if pages_of(state):
             assert state.items[keys.FENCE][0] is None
     while (batch := queue.next_batch(ops)) is not None:
-        queue.saved(state.txn(batch.guards, batch.writes))
+        queue.batch_committed(state.txn(batch.guards, batch.writes))
     stored = {}
     for key, (value, _) in state.items.items():
         if key.startswith(keys.CHUNK_PREFIX):
@@ -318,7 +318,7 @@
 
 def test_a_lost_page_is_written_again_and_the_lost_one_never_applies():
     bed, placed, lost = two_jobs_in_flight()
-    bed.cluster.write_queue.not_saved(bed.state.stamp_of)
+    bed.cluster.write_queue.batch_failed(bed.state.stamp_of)
     assert not on_record(bed.state) and not bed.report("host-0", 2)
     bed.commit()
     assert on_record(bed.state) == in_memory(bed.cluster) and len(in_memory(bed.cluster)) == 2
@@ -329,7 +329,7 @@
 def test_a_page_whose_answer_was_lost_is_found_as_written():
     bed, placed, lost = two_jobs_in_flight()
     assert bed.state.txn(lost.guards, lost.writes) is not None
-    bed.cluster.write_queue.not_saved(bed.state.stamp_of)
+    bed.cluster.write_queue.batch_failed(bed.state.stamp_of)
     assert bed.cluster.pages.home(placed[0].spec.id).stamp == bed.state.stamp_of(keys.page_key(0))
     bed.commit()
     assert on_record(bed.state) == in_memory(bed.cluster)
@@ -338,11 +338,11 @@
 
 def test_a_lost_page_that_applies_before_the_next_write_is_read_and_written_over():
     bed, placed, lost = two_jobs_in_flight()
-    bed.cluster.write_queue.not_saved(bed.state.stamp_of)
+    bed.cluster.write_queue.batch_failed(bed.state.stamp_of)
     assert bed.state.txn(lost.guards, lost.writes) is not None  # late
     batch = next_batch(bed)
     assert bed.state.txn(batch.guards, batch.writes) is None
-    bed.cluster.write_queue.not_saved(bed.state.stamp_of, unknown=False)
+    bed.cluster.write_queue.batch_failed(bed.state.stamp_of, unknown=False)
     bed.commit()
     assert on_record(bed.state) == in_memory(bed.cluster) and len(placed) == 2
 
@@ -359,7 +359,7 @@
         assert bed.state.cancel(one.spec.id)
     assert bed.state.txn(batch.guards, batch.writes) is None
     bed.see_jobs()
-    bed.cluster.write_queue.not_saved(bed.state.stamp_of, unknown=False)
+    bed.cluster.write_queue.batch_failed(bed.state.stamp_of, unknown=False)
     bed.commit()
     cancelled = {one.spec.id for one in placed[1:3]}
     assert {name for name, _ in on_record(bed.state)} == {one.spec.id for one in placed} - cancelled
@@ -569,9 +569,9 @@
     node.read()
     node.standby.begin(bed.clock.now_us())
     pieces = 1
-    while node.standby.piece(bed.clock.now_us()):
+    while node.standby.apply_step(bed.clock.now_us()):
         pieces += 1
-    assert pieces >= (300 + 300) / 2 / PIECE and len(node.standby.cluster_state.jobs) == len(placed)
+    assert pieces >= (300 + 300) / 2 / CHANGES_PER_STEP and len(node.standby.cluster_state.jobs) == len(placed)
     assert not any(node.standby.audit(bed.clock.now_us()) for _ in range(10))
 
 
@@ -609,7 +609,9 @@
     for _ in range(3):
         batch = old.write_queue.next_batch(8)
         assert bed.state.txn(batch.guards, batch.writes) is None
-        old.write_queue.not_saved(lambda key: bed.state.stamp_of(key) if bed.state.items.get(key, (None,))[0] else 0)
+        old.write_queue.batch_failed(
+            lambda key: bed.state.stamp_of(key) if bed.state.items.get(key, (None,))[0] else 0
+        )
     assert on_record(bed.state) == stored == in_memory(bed.elect())
 
 
@@ -630,8 +632,8 @@
 
 
 def test_pages_are_written_once_all_were_heard_to_read_them_and_until_one_is_heard_that_does_not():
-    reads = [Standing(f"n{n}", "a", True, reads_pages=True) for n in (1, 2)]
-    old = Standing("n2", "a", True)
+    reads = [Candidate(f"n{n}", "a", True, reads_pages=True) for n in (1, 2)]
+    old = Candidate("n2", "a", True)
     assert all_read_pages(2, reads, False) and all_read_pages(0, [], False)
     assert not all_read_pages(2, reads[:1], False)  # one was not heard yet
     assert all_read_pages(2, reads[:1], True)  # it was before, and is away
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -67,7 +67,7 @@
             harness.new_leader()
         machines = harness.leaders[-1].machines
         if machines and rng.random() < 0.1:
-            harness.leaders[-1].give_back(machines[rng.choice(sorted(machines))], "the test has it returned")
+            harness.leaders[-1].request_return(machines[rng.choice(sorted(machines))], "the test has it returned")
         harness.step()
         yield harness
 
@@ -84,12 +84,12 @@
     follower.catch_up()
     plain = rebuilt(harness.state, harness.clock, harness.config)
     assert follower.cluster_state.comparable() == plain.comparable()
-    assert all(follower.cluster_state.says(key, value) for key, (value, _) in harness.state.read_all().items())
+    assert all(follower.cluster_state.matches(key, value) for key, (value, _) in harness.state.read_all().items())
 
 
 @pytest.mark.parametrize("forgotten", ["_vanish", "_ends", "_unname", "_note"])
 def test_a_forgotten_transition_is_found(forgotten, monkeypatch):
-    """Planted: the follower leaves out one kind of transition; the comparison, and for places `says`, must tell."""
+    """Planted: the follower leaves out one kind of transition; the comparison, and for places `matches`, must tell."""
     harness, follower = None, None
     for harness in play(5):
         follower = follower or Follower(harness.state, harness.clock, harness.config)
@@ -97,7 +97,7 @@
         follower.catch_up()
     plain = rebuilt(harness.state, harness.clock, harness.config)
     assert follower.cluster_state.comparable() != plain.comparable()
-    wrong = [key for key, (value, _) in harness.state.items.items() if not follower.cluster_state.says(key, value)]
+    wrong = [key for key, (value, _) in harness.state.items.items() if not follower.cluster_state.matches(key, value)]
     assert wrong or forgotten in ("_note", "_unname")  # there no record is left that could say it
 
 
@@ -137,7 +137,7 @@
 
     def follow(self):
         """Apply all that it was told."""
-        while self.standby.piece(self.clock.now_us()):
+        while self.standby.apply_step(self.clock.now_us()):
             pass
 
     def state_of(self, key):
@@ -200,7 +200,7 @@
     now = harness.clock.now_us()
     node.follow()
     assert node.standby.audit(now) == []
-    cluster_state = node.standby._picture
+    cluster_state = node.standby._cluster_state
     task = next(task for job in cluster_state.jobs.values() for task in job.live.values())
     cluster_state.unplace(task, now)  # planted: a place that was lost on the way
     for _ in range(20):
@@ -208,7 +208,7 @@
             break
     assert wrong == [keys.chunk_key(task.job.spec.id, 0)] and node.standby.rebuilds == 1
     node.follow()
-    assert node.standby._picture.comparable() == rebuilt(harness.state, harness.clock).comparable()
+    assert node.standby._cluster_state.comparable() == rebuilt(harness.state, harness.clock).comparable()
 
 
 def followed(harness):
@@ -388,7 +388,7 @@
         super().step()
         if self.rng.random() < 0.4:  # it is behind by seconds, and by more
             self.standby.read()
-            self.standby.standby.piece(self.clock.now_us())
+            self.standby.standby.apply_step(self.clock.now_us())
 
 
 @pytest.mark.parametrize("seed", range(12))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -97,7 +97,7 @@
     batch = queue.next_batch(8)
     assert [(g.key, g.stamp) for g in batch.guards] == [("t/leader", 1), ("t/m/a", 7)]
     assert [write.value for write in batch.writes] == [{"v": 1}]
-    queue.saved(9)
+    queue.batch_committed(9)
     assert told == ["old", "new"] and new.stamp == 9 and queue.waiting == 0
 
 
@@ -177,5 +177,5 @@
         queue.enqueue(Entry(f"t/r/{n}", lambda: {}, 1))
     batch = queue.next_batch(8, lazy=2)
     assert [entry.key for entry in batch.entries] == ["t/r/0", "t/r/1", "t/r/2", "t/m/0", "t/m/1"]
-    queue.saved(5)
+    queue.batch_committed(5)
     assert len(queue.next_batch(8, lazy=0).entries) == 1  # never nothing at all
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -14,8 +14,8 @@
 from tideusher.core.decide import succession
 from tideusher.core.decide.succession import (
     DAMP_US,
+    Candidate,
     Leadership,
-    Standing,
     TimerLag,
     election_delay_us,
     step_down_reason,
@@ -25,7 +25,7 @@
 from tideusher.core.decide.takeover_readiness import TakeoverReadiness
 from tideusher.core.lead import soft_state
 from tideusher.core.lead.engine import Engine
-from tideusher.core.lead.soft_state import Told, newer, refusal, take, tell
+from tideusher.core.lead.soft_state import ReceivedSoftState, collect, newer, reason_unusable, restore
 from tideusher.core.lead.standby import Standby
 from tideusher.core.model import keys
 from tideusher.core.model.contacts import MAX_LINES_PER_HEARTBEAT, LocalContacts, WorkerContacts
@@ -40,7 +40,7 @@
 
 def seven(**lost):
     """All controllers but the leader n0, warm; `lost` by name: whose token each lost."""
-    return [Standing(f"n{n}", ZONES[n], True, behind=0, lost=lost.get(f"n{n}", 0)) for n in range(1, 7)]
+    return [Candidate(f"n{n}", ZONES[n], True, behind=0, lost=lost.get(f"n{n}", 0)) for n in range(1, 7)]
 
 
 def test_all_know_the_same_line_and_nobody_stands_with_another():
@@ -64,7 +64,7 @@
 
 
 def but(one, **fields):
-    return Standing(**{**{name: getattr(one, name) for name in Standing.__slots__}, **fields})
+    return Candidate(**{**{name: getattr(one, name) for name in Candidate.__slots__}, **fields})
 
 
 def who_deposes(nodes, leadership=None, size=7, now_us=60 * SECOND_US, hears=lambda a, b: True):
@@ -99,18 +99,18 @@
     everybody = seven(**{f"n{n}": 41 for n in range(1, 7)})
     rest = [one for one in everybody if one.node != succession_order(everybody, 41)[0]]
     assert who_deposes(rest) == [succession_order(rest, 41)[0]]
-    alone = [Standing("n2", "b", True, behind=0, lost=41)]  # of three: one is left, and waits for the lease
+    alone = [Candidate("n2", "b", True, behind=0, lost=41)]  # of three: one is left, and waits for the lease
     assert who_deposes(alone, size=3) == [] and election_delay_us(alone[0], [], 41) == 0
 
 
 def test_one_that_is_cut_off_from_the_state_service_neither_takes_over_nor_counts():
-    two = [Standing("n1", "a", True, behind=0, lost=41), Standing("n2", "b", False, behind=0, lost=41)]
+    two = [Candidate("n1", "a", True, behind=0, lost=41), Candidate("n2", "b", False, behind=0, lost=41)]
     assert who_deposes(two, size=3) == [] and succession_order(two, 41) == ["n1"]
     assert election_delay_us(two[1], [two[0]], 41) > 0
 
 
 def test_evidence_comes_from_several_zones_where_there_are_several():
-    nodes = [Standing(f"n{n}", zone, True, behind=0, lost=41 * (zone == "c")) for n, zone in enumerate("cccab", 1)]
+    nodes = [Candidate(f"n{n}", zone, True, behind=0, lost=41 * (zone == "c")) for n, zone in enumerate("cccab", 1)]
     assert who_deposes(nodes, size=6) == []  # a zone that is cut off from the leader's
     assert len(who_deposes([but(one, lost=41) for one in nodes], size=6)) == 1
 
@@ -148,9 +148,9 @@
 
 
 def test_a_slow_leader_gives_way_to_one_that_is_faster_and_not_to_load():
-    slow = Standing("n0", "a", True, behind=0, lag_us=2 * SECOND_US)
-    fast = Standing("n1", "b", True, behind=0, lag_us=1000)
-    loaded = Standing("n2", "c", True, behind=0, lag_us=SECOND_US)
+    slow = Candidate("n0", "a", True, behind=0, lag_us=2 * SECOND_US)
+    fast = Candidate("n1", "b", True, behind=0, lag_us=1000)
+    loaded = Candidate("n2", "c", True, behind=0, lag_us=SECOND_US)
     assert step_down_reason(slow, [fast], 60 * SECOND_US) and not step_down_reason(slow, [loaded], 60 * SECOND_US)
     assert not step_down_reason(slow, [fast], 5 * SECOND_US) and not step_down_reason(slow, [], 60 * SECOND_US)
     assert not step_down_reason(slow, [but(fast, behind=None)], 60 * SECOND_US)  # nobody warm
@@ -190,7 +190,7 @@
     config = make_config(size=3)
     config.node = node
     made = Election(config, Policy(), store, clock, random.Random(1))
-    made.hear(lambda: ours or Standing(node, "b", True, behind=0), lambda: list(others), lambda token: None)
+    made.set_sources(lambda: ours or Candidate(node, "b", True, behind=0), lambda: list(others), lambda token: None)
     return made
 
 
@@ -217,21 +217,21 @@
     store, clock = ScriptedStore(), Bed().clock
     token = store.state.elect("n0")
     store.sync()
-    ours = Standing("n1", "b", True, behind=0, lost=token)
-    made = election(store, clock, ours=ours, others=[Standing("n2", "a", True, behind=0, lost=0)])
+    ours = Candidate("n1", "b", True, behind=0, lost=token)
+    made = election(store, clock, ours=ours, others=[Candidate("n2", "a", True, behind=0, lost=0)])
     made._another_leads(store.mirror[keys.LEADER])
     assert made.token is None  # alone in saying so
-    first = "n1" if succession_order([ours, Standing("n2", "a", True, behind=0)], token)[0] == "n1" else "n2"
-    agree = [Standing("n2", "a", True, behind=0 if first == "n1" else None, lost=token)]
+    first = "n1" if succession_order([ours, Candidate("n2", "a", True, behind=0)], token)[0] == "n1" else "n2"
+    agree = [Candidate("n2", "a", True, behind=0 if first == "n1" else None, lost=token)]
     made = election(store, clock, ours=ours, others=agree)
     made._another_leads(store.mirror[keys.LEADER])
     value, stamp = store.state.items[keys.LEADER]
     assert (value["node"], value["early"], made.token) == ("n1", 1, stamp) and stamp > token
     store.away = True
-    made.give_up()  # not written: it still leads, as far as the key says
+    made.resign()  # not written: it still leads, as far as the key says
     assert store.state.items[keys.LEADER][1] == stamp
     store.away = False
-    made.give_up()
+    made.resign()
     assert keys.LEADER not in store.state.items and made.rests()
 
 
@@ -296,16 +296,18 @@
 def test_soft_facts_of_an_older_leader_or_too_old_are_not_used():
     bed = Bed()
     kind = ("m4", "a", False)
-    told = Told(Soft(7, [Refused(*kind, 9000, 2)]), bed.clock.now_us())
-    assert refusal(None, 7, told.at_us) and refusal(told, 8, told.at_us)
-    assert refusal(told, 7, told.at_us + 30 * SECOND_US) and not refusal(told, 7, told.at_us + SECOND_US)
+    told = ReceivedSoftState(Soft(7, [Refused(*kind, 9000, 2)]), bed.clock.now_us())
+    assert reason_unusable(None, 7, told.at_us) and reason_unusable(told, 8, told.at_us)
+    assert reason_unusable(told, 7, told.at_us + 30 * SECOND_US) and not reason_unusable(
+        told, 7, told.at_us + SECOND_US
+    )
     woken = newer(told, Soft(5, [Refused("m4", "b", True, 60_000, 9)]), told.at_us + 1)
     assert woken is told  # an older leader stood still, wakes and tells what it knew
     engine = bed.engine()
-    assert take(engine, told, told.at_us + 4 * SECOND_US) == 1
+    assert restore(engine, told, told.at_us + 4 * SECOND_US) == 1
     assert not engine.cluster.fleet.available(kind, told.at_us + 8 * SECOND_US)
     assert engine.cluster.fleet.available(kind, told.at_us + 10 * SECOND_US)
-    assert tell(engine, told.at_us + 4 * SECOND_US).refused == [Refused(*kind, 5000, 2)]
+    assert collect(engine, told.at_us + 4 * SECOND_US).refused == [Refused(*kind, 5000, 2)]
 
 
 # ---------------------------------------------------------------- a region under several controllers
@@ -358,7 +360,7 @@
                     contacts.told(other, told if self.tells else [], now)
                 for key, (value, stamp) in self.state.items.items():
                     standby.changed(key, value, stamp)
-                while standby.piece(now):
+                while standby.apply_step(now):
                     pass
                 if standby.cluster_state is not None:
                     for zone in contacts.all_reporting_zones(self.zone_of, now):
@@ -381,7 +383,7 @@
             self.config, self.cluster.policy, token, now, self.clock.wall_us, Metrics(), self.state.record_of,
             cluster_state=caught.cluster_state,
         )  # fmt: skip
-        soft_state.take_sightings(engine, contacts, now)
+        soft_state.apply_contacts(engine, contacts, now)
         self.cluster, self.scheduler, self.leader, self.leads = engine.cluster, engine.scheduler, name, True
         self.gathered_us = now
         self.types()
--- a/tests/test_two_rentals.py
+++ b/tests/test_two_rentals.py
@@ -21,7 +21,7 @@
 
 from standins import Bed, job, make_config
 from tideusher.config import Policy
-from tideusher.core.decide.mass_failures import MANY
+from tideusher.core.decide.mass_failures import MASS_FAILURE_MACHINES
 from tideusher.core.model import keys
 from tideusher.core.model.cluster_state import ClusterState
 from tideusher.core.model.records import RETURNING
@@ -80,7 +80,7 @@
     bed.elect()
     placed = bed.cluster.jobs[spec.id]
     for name in ("host-8", "host-9"):
-        bed.cluster.give_back(bed.cluster.machines[name], "the test has it returned")
+        bed.cluster.request_return(bed.cluster.machines[name], "the test has it returned")
     assert len(placed.live) == 2
     return_all(bed)
     assert not placed.live and placed.pending == 2
@@ -97,7 +97,7 @@
     if not returning:
         bed.commit()
         assert named(bed, "host-1") == [keys.rental_key(OWNER)]
-        bed.cluster.give_back(bed.cluster.machines["host-1"], "the test has it returned")
+        bed.cluster.request_return(bed.cluster.machines["host-1"], "the test has it returned")
     return_all(bed)
     bed.elect()
     assert set(bed.cluster.machines) == {"host-2"} and set(bed.cluster.rentals) == {OWNER}
@@ -159,7 +159,7 @@
     bed.elect()
     rental = bed.cluster.rentals[OWNER]
     bed.report("host-1", 1)
-    bed.cluster.give_back(bed.cluster.machines["host-1"], "the test has it returned")
+    bed.cluster.request_return(bed.cluster.machines["host-1"], "the test has it returned")
     if saved:
         bed.commit()
     bed.cluster.renting.rented(rental, ["host-1", "host-2"], bed.clock.now_us())
@@ -177,7 +177,7 @@
     for name in ("host-1", "host-2", "host-3"):
         bed.report(name, 1)
     for name in ("host-1", "host-3"):
-        bed.cluster.give_back(bed.cluster.machines[name], "the test has it returned")
+        bed.cluster.request_return(bed.cluster.machines[name], "the test has it returned")
     returns(bed)
     bed.cluster.returned(["host-1", "host-1", "host-77", "host-2", "host-3"], bed.clock.now_us())
     bed.cluster.returned(["host-3"], bed.clock.now_us())
@@ -200,12 +200,12 @@
 def test_a_list_of_the_cloud_that_names_machines_twice_counts_each_once():
     """Of machines that fell together the names are on record until each is returned. One named twice stayed there."""
     bed = Bed()
-    hosts = [f"host-{number}" for number in range(MANY + 1)]
+    hosts = [f"host-{number}" for number in range(MASS_FAILURE_MACHINES + 1)]
     for host in hosts:
         bed.report(host, 1)
     listing = [Listed(host, host, "m4", "a", False, FAILED, 5.0) for host in [*hosts, *hosts]]
     bed.cluster.listed(listing, bed.clock.now_us())
-    (mass_failure,) = bed.cluster.recovery.falls.values()
+    (mass_failure,) = bed.cluster.recovery.mass_failures.values()
     assert mass_failure.machines == len(hosts)
     return_all(bed)
     assert not bed.cluster.machines and not mass_failure.parts
--- a/tools/compare_loopback.py
+++ b/tools/compare_loopback.py
@@ -81,7 +81,7 @@
         self.serial = dict.fromkeys((card.machine for card in test_embed.SETTINGS.machines), 0)
         self.zones = {card.machine: card.zone for card in test_embed.SETTINGS.machines}
         self.report()
-        self.cluster.rents = False
+        self.cluster.rents_machines = False
         for machine in self.cluster.machines.values():
             machine.images["program"] = 0.0
 
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -87,7 +87,7 @@
         revision = bed.state.txn(batch.guards, batch.writes)
         assert revision is not None
         began = time.perf_counter()
-        queue.saved(revision)
+        queue.batch_committed(revision)
         spent_s += time.perf_counter() - began
 
 
@@ -95,7 +95,7 @@
     """Passes until nothing waits: seconds in all, the longest piece, and how many starts."""
     bed, total_s, longest_s = fleet.bed, 0.0, 0.0
     while any(one.waits for one in bed.cluster.jobs.values()):
-        the_pass, before = bed.scheduler.pieces(bed.clock.now_us()), starts(bed)
+        the_pass, before = bed.scheduler.pass_steps(bed.clock.now_us()), starts(bed)
         while True:
             began = time.perf_counter()
             ended = next(the_pass, "end")
--- a/tools/measure_conditions.py
+++ b/tools/measure_conditions.py
@@ -44,10 +44,10 @@
         print(f"scripts {what}: {count / (time.perf_counter() - began):,.0f} a second ({len(texts)} samples)")
 
 
-def pieces(bed: Bed) -> tuple[float, float]:
+def pass_steps(bed: Bed) -> tuple[float, float]:
     """A whole pass: its time and its longest piece, in ms."""
     longest = total = 0.0
-    the_pass = bed.scheduler.pieces(bed.clock.now_us())
+    the_pass = bed.scheduler.pass_steps(bed.clock.now_us())
     while True:
         began = time.perf_counter()
         ended = next(the_pass, "end")
@@ -81,7 +81,7 @@
             bed.state.items[keys.job_key(spec.id)] = (open_value(spec, bed.clock.wall_us()), bed.state.tide)
         bed.see_jobs()
         bed.commit()
-        idle = pieces(bed)
+        idle = pass_steps(bed)
         fleet(bed)
         bed.state.cancel(first.id)
         bed.see_jobs()
@@ -93,7 +93,7 @@
             steps_ms.append((time.perf_counter() - began) * 1000)
         release_writes = bed.state.tide - written
         ready = len(bed.cluster.active)
-        total, longest = pieces(bed)
+        total, longest = pass_steps(bed)
         print(
             f"{jobs:,} jobs {what}: {ready:,} ready after {sum(steps_ms):.0f} ms "
             f"(longest piece {max(steps_ms):.1f} ms) and {release_writes} writes; "
@@ -121,8 +121,8 @@
     bed.see_jobs()
     load_s = time.perf_counter() - began
     cluster_state = resident_mb()
-    pieces(bed)
-    total, longest = pieces(bed)
+    pass_steps(bed)
+    total, longest = pass_steps(bed)
     print(
         f"{jobs:,} open jobs {'each after the one before' if chained else 'without conditions'}: "
         f"records {records - before:.0f} MB, picture {cluster_state - records:.0f} MB, read in {load_s:.1f} s; "
