--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,7 @@
 
 from known_red import pytest_collection_modifyitems, pytest_terminal_summary  # noqa: F401
 from simulated_cluster import SimulatedCluster
-from standins import Bed
+from standins import LeaderHarness
 from tideusher.embed.disk import Disk
 from tideusher.invariants import LOGGER_NAME
 
@@ -44,6 +44,6 @@
 
 
 @pytest.fixture
-def bed():
+def harness():
     """A leader on a state stand-in, driven by hand."""
-    return Bed()
+    return LeaderHarness()
--- a/tests/region.py
+++ b/tests/region.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from standins import Bed, Rules, make_config
+from standins import LeaderHarness, Rules, make_config
 from tideusher.config import Policy, WorkerSettings
 from tideusher.core.lead.reports import Reports
 from tideusher.core.lead.scheduler import Scheduler
@@ -16,7 +16,7 @@
 LIST_TELLS_S = 30.0
 
 
-class Region(Bed):
+class Region(LeaderHarness):
     """Machines report every two seconds; a call to one that is silent fails after 1.5 s, as the leader's do."""
 
     def __init__(self, a=20, b=20, boot_s=20.0, idle_s=1e6):
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -301,7 +301,7 @@
         return len(ready) == self.specs[task.job].tasks
 
 
-class Bed:
+class LeaderHarness:
     """A leader on a state stand-in, driven by hand."""
 
     def __init__(self, config: Config | None = None, shared: bool = False) -> None:
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -5,7 +5,7 @@
 import pytest
 
 from region import HANGS, Region
-from standins import Bed, Harness, job, make_config
+from standins import Harness, LeaderHarness, job, make_config
 from tideusher.actors.election import PREVIOUS_RUN_GRACE_US, Election
 from tideusher.actors.leader import PROCESS_PAUSE_US, TICK_US, Leader
 from tideusher.actors.store import Conflict, MirroredValue
@@ -113,7 +113,7 @@
 
 
 def three(seed=0, nodes=3):
-    service = Service(Bed().clock)
+    service = Service(LeaderHarness().clock)
     lives = {f"n{number}": Life(service, f"n{number}", seed + number) for number in range(nodes)}
     meet(lives)
     return service, lives
@@ -266,22 +266,22 @@
 
 @pytest.mark.parametrize(("still_s", "counts"), [(1, False), (5, True), (8, True), (30, True)])
 def test_a_controller_that_wakes_takes_nobody_for_silent_in_the_time_it_did_not_listen(still_s, counts):
-    bed, election = Bed(), StillElection()
+    harness, election = LeaderHarness(), StillElection()
     own = LocalContacts(SECOND_US)
-    own.heard("host-1", "a", "x", bed.clock.now_us())
+    own.heard("host-1", "a", "x", harness.clock.now_us())
     store = type("Store", (), {"mirror": {}, "lead": lambda self, leading: None})()
-    leader = Leader(bed.cluster.config, Policy(), bed.clock, store, election, None, Metrics())
+    leader = Leader(harness.cluster.config, Policy(), harness.clock, store, election, None, Metrics())
     leader.set_contacts(WorkerContacts(own))
-    leader._standby = Standby(bed.config, Policy(), bed.clock.wall_us, lambda name: None, dict)
-    leader._standby.begin(bed.clock.now_us())
+    leader._standby = Standby(harness.config, Policy(), harness.clock.wall_us, lambda name: None, dict)
+    leader._standby.begin(harness.clock.now_us())
     zones = leader._standby.cluster_state.zones
-    zones.heard("a", bed.clock.now_us())
+    zones.heard("a", harness.clock.now_us())
     for _ in range(3):
-        bed.clock.pass_s(TICK_US / SECOND_US)
+        harness.clock.pass_s(TICK_US / SECOND_US)
         leader.on_timer_tick()
-    bed.clock.pass_s(still_s)
+    harness.clock.pass_s(still_s)
     leader.on_timer_tick()
-    now_us = bed.clock.now_us()
+    now_us = harness.clock.now_us()
     assert bool(election.told) is counts and (still_s * SECOND_US > PROCESS_PAUSE_US) is counts
     if counts:
         assert zones.since_us("a", now_us) == now_us and own.reporting_zones(now_us) == ["a"]
@@ -289,7 +289,7 @@
 
 
 def test_a_leadership_whose_lease_may_have_ended_is_doubted_until_a_read():
-    service = Service(Bed().clock)
+    service = Service(LeaderHarness().clock)
     life = Life(service, "n0", 1)
     run(service, {"n0": life}, 3, lambda: life.leads)
     one = life.election
@@ -314,7 +314,7 @@
 
 
 def test_a_token_that_was_let_go_of_is_never_led_with_again():
-    service = Service(Bed().clock)
+    service = Service(LeaderHarness().clock)
     led = []
     life = paused_life(service)
     before = life.election._last_token
@@ -332,7 +332,7 @@
 
 def test_standing_anew_counts_no_change_on_evidence_and_forgets_none():
     """Else a leader that pauses again and again could be taken from without the pause between such changes."""
-    service = Service(Bed().clock)
+    service = Service(LeaderHarness().clock)
     life = paused_life(service)
     value, stamp = service.state.items[keys.LEADER]
     service.state.items[keys.LEADER] = ({**value, "early": 2}, stamp)
@@ -341,7 +341,7 @@
 
 
 def test_what_was_under_way_under_a_token_that_was_let_go_of_does_nothing():
-    service = Service(Bed().clock)
+    service = Service(LeaderHarness().clock)
     life = paused_life(service)
     late = [Guard(keys.LEADER, life.election._last_token)], [Put("t/m/late", {})]
     life.step()
@@ -349,7 +349,7 @@
 
 
 def test_a_request_to_stand_anew_that_lands_late_is_led_with_once():
-    service = Service(Bed().clock)
+    service = Service(LeaderHarness().clock)
     life = paused_life(service)
     life.view.sync()
     life.view.slow = True
--- a/tests/test_background_calls.py
+++ b/tests/test_background_calls.py
@@ -141,13 +141,13 @@
     return found
 
 
-def job_on(bed, *hosts):
-    return bed.place(job("batch", len(hosts), gpus=4.0), *hosts)
+def job_on(harness, *hosts):
+    return harness.place(job("batch", len(hosts), gpus=4.0), *hosts)
 
 
-def test_a_halt_that_waits_is_told_under_the_newest_token(others, bed):
+def test_a_halt_that_waits_is_told_under_the_newest_token(others, harness):
     """A worker that has seen a newer token drops what carries an older one."""
-    first, second = job_on(bed, "host-1"), job_on(bed, "host-2")
+    first, second = job_on(harness, "host-1"), job_on(harness, "host-2")
     others.halts.halt(first, 5, lambda name: name)
     gevent.idle()
     others.halts.halt(second, 9, lambda name: name)
@@ -156,8 +156,8 @@
     assert [(host, token) for host, token, _ in others.told][1:] == [("host-2", 9)]
 
 
-def test_what_waits_behind_a_call_for_another_leader_that_fails_is_told(others, bed):
-    placed = job_on(bed, "host-1", "host-2", "host-3")
+def test_what_waits_behind_a_call_for_another_leader_that_fails_is_told(others, harness):
+    placed = job_on(harness, "host-1", "host-2", "host-3")
     others.fail.add("host-1")
     others.halts.halt(placed, 5, lambda name: name)
     others.open.set(None)
@@ -165,8 +165,8 @@
     assert sorted(host for host, *_ in others.told) == ["host-2", "host-3"]
 
 
-def test_a_job_that_is_cancelled_again_and_again_waits_once(others, bed):
-    placed, blocked = job_on(bed, "host-2"), job_on(bed, "host-1")
+def test_a_job_that_is_cancelled_again_and_again_waits_once(others, harness):
+    placed, blocked = job_on(harness, "host-2"), job_on(harness, "host-1")
     others.halts.halt(blocked, 5, lambda name: name)
     gevent.idle()
     for _ in range(20):
--- a/tests/test_claim.py
+++ b/tests/test_claim.py
@@ -5,7 +5,7 @@
 import pytest
 
 from history import KIND, TEAMS
-from standins import Bed, FakeClock, job
+from standins import FakeClock, LeaderHarness, job
 from test_embed import Program
 from tideusher.clock import SECOND_US
 from tideusher.embed import Settings, small_job
@@ -183,18 +183,18 @@
 
 def test_two_claims_of_the_last_card_are_two_services_of_their_teams():
     """The cluster's side is that of any service: limit, rank, proof."""
-    bed = Bed()
-    first = bed.place(job("service", 1, gpus=4.0, priority="standard"))
-    second = bed.submit(job("service", 1, gpus=4.0, team="blue", priority="standard"))
-    bed.report("host-1", 2)
-    bed.report("host-1", 3, (f"{first.spec.id}/0", 1, "running", None))
-    bed.scheduler.schedule(bed.clock.now_us())
-    bed.commit()
+    harness = LeaderHarness()
+    first = harness.place(job("service", 1, gpus=4.0, priority="standard"))
+    second = harness.submit(job("service", 1, gpus=4.0, team="blue", priority="standard"))
+    harness.report("host-1", 2)
+    harness.report("host-1", 3, (f"{first.spec.id}/0", 1, "running", None))
+    harness.scheduler.schedule(harness.clock.now_us())
+    harness.commit()
     assert first.live and not second.live
-    bed.state.cancel(first.spec.id)  # released: the other has it only when the first is proven gone
-    bed.see_jobs()
-    bed.scheduler.schedule(bed.clock.now_us())
+    harness.state.cancel(first.spec.id)  # released: the other has it only when the first is proven gone
+    harness.see_jobs()
+    harness.scheduler.schedule(harness.clock.now_us())
     assert not second.live
-    bed.report("host-1", 4, (f"{first.spec.id}/0", 1, "exited", "stopped"))
-    bed.scheduler.schedule(bed.clock.now_us())
+    harness.report("host-1", 4, (f"{first.spec.id}/0", 1, "exited", "stopped"))
+    harness.scheduler.schedule(harness.clock.now_us())
     assert second.live
--- a/tests/test_compound_faults.py
+++ b/tests/test_compound_faults.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from standins import Bed, FakeClock, job, make_config
+from standins import FakeClock, LeaderHarness, job, make_config
 from tideusher.actors import halts as halts_module
 from tideusher.actors import leader as leader_actor
 from tideusher.actors.leader import Leader
@@ -250,10 +250,10 @@
     assert [worker.name for worker, _ in sim.on_machines(spec.id)] not in ([], [name])
 
 
-def test_a_machine_that_stays_mute_is_returned_and_one_that_others_hear_is_not(bed):
-    machine = bed.cluster.machines.get("host-1")
-    bed.report("host-1", 1)
-    machine, clock = bed.cluster.machines["host-1"], bed.clock
+def test_a_machine_that_stays_mute_is_returned_and_one_that_others_hear_is_not(harness):
+    machine = harness.cluster.machines.get("host-1")
+    harness.report("host-1", 1)
+    machine, clock = harness.cluster.machines["host-1"], harness.clock
     heard = {"us": 0}
 
     def due():
@@ -344,16 +344,16 @@
 
     monkeypatch.setattr(halts_module, "HttpClient", Client)
     config = make_config(resources=ProcessResources(max_sockets=64))
-    bed = Bed(config)
-    jobs = [bed.place(job("batch", 2, cpus=1.0, gpus=0.1, team="red"), "host-1", "host-2") for _ in range(12)]
+    harness = LeaderHarness(config)
+    jobs = [harness.place(job("batch", 2, cpus=1.0, gpus=0.1, team="red"), "host-1", "host-2") for _ in range(12)]
     part = type("Part", (), {})
     store = part()
     store.listen, store.mirror, store.lead = lambda f: None, {}, lambda leads: None
     election = part()
     election.leader, election.token = lambda: ("n9", 7), None
-    leader = Leader(config, Policy(), clock, store, election, part(), bed.cluster.metrics)
+    leader = Leader(config, Policy(), clock, store, election, part(), harness.cluster.metrics)
     leader._standby = part()
-    leader._standby.cluster_state = bed.cluster.cluster_state
+    leader._standby.cluster_state = harness.cluster.cluster_state
     leader.set_reachability(lambda node: False)
     seen = part()
     seen.last = lambda name, now_us: (now_us, f"{name}:1")
@@ -400,53 +400,55 @@
     return Report(machine, "127.0.0.1:9", "m4", "a", False, session, serial, token, None, items)
 
 
-def test_a_copy_that_is_the_first_thing_heard_of_a_machine_proves_and_places_nothing(bed):
+def test_a_copy_that_is_the_first_thing_heard_of_a_machine_proves_and_places_nothing(harness):
     spec = job("batch", 2)
-    bed.place(spec)
-    names, old = [f"{spec.id}/{index}" for index in (0, 1)], bed.cluster.token
-    bed.report("host-1", 2)
-    bed.report("host-1", 3, *((name, 1, "running", None) for name in names))
-    bed.commit()
-    bed.elect()
-    placed, before = bed.cluster.jobs[spec.id], dict(bed.state.items)
+    harness.place(spec)
+    names, old = [f"{spec.id}/{index}" for index in (0, 1)], harness.cluster.token
+    harness.report("host-1", 2)
+    harness.report("host-1", 3, *((name, 1, "running", None) for name in names))
+    harness.commit()
+    harness.elect()
+    placed, before = harness.cluster.jobs[spec.id], dict(harness.state.items)
     for report in (
         copy("host-1", 2, 1, old),  # from before it ran anything
         copy("host-1", 1, 1, 0, (names[0], 1, "pulling", None)),
     ):
-        Reports(bed.cluster).answer(report, bed.clock.now_us())
-        bed.commit()
+        Reports(harness.cluster).answer(report, harness.clock.now_us())
+        harness.commit()
         assert set(placed.live) == {0, 1} and placed.pending == 0
-    assert {k: v for k, v in bed.state.items.items() if k.startswith(keys.CHUNK_PREFIX)} == {
+    assert {k: v for k, v in harness.state.items.items() if k.startswith(keys.CHUNK_PREFIX)} == {
         k: v for k, v in before.items() if k.startswith(keys.CHUNK_PREFIX)
     }
-    bed.report("host-1", 4, *((name, 1, "running", None) for name in names), token=old)
-    bed.report("host-1", 5, *((name, 1, "running", None) for name in names))
+    harness.report("host-1", 4, *((name, 1, "running", None) for name in names), token=old)
+    harness.report("host-1", 5, *((name, 1, "running", None) for name in names))
     assert set(placed.live) == {0, 1}
 
 
-def test_a_copy_does_not_end_the_silence_that_controllers_told_of(bed):
+def test_a_copy_does_not_end_the_silence_that_controllers_told_of(harness):
     """It came as the new leader began, of a machine that had died: it was waited for anew."""
-    bed.place(job())
-    old = bed.cluster.token
-    bed.elect()
-    machine = bed.cluster.machines["host-1"]
-    machine.seen_us = bed.clock.now_us() - 5 * SECOND_US
-    Reports(bed.cluster).answer(copy("host-1", 2, 1, old), bed.clock.now_us())
+    harness.place(job())
+    old = harness.cluster.token
+    harness.elect()
+    machine = harness.cluster.machines["host-1"]
+    machine.seen_us = harness.clock.now_us() - 5 * SECOND_US
+    Reports(harness.cluster).answer(copy("host-1", 2, 1, old), harness.clock.now_us())
     assert machine.last_us == machine.seen_us
-    bed.report("host-1", 3)  # under our token: it is there
-    assert machine.last_us == bed.clock.now_us()
+    harness.report("host-1", 3)  # under our token: it is there
+    assert machine.last_us == harness.clock.now_us()
 
 
-def test_no_work_is_placed_on_a_machine_of_which_only_an_old_report_is_known(bed):
+def test_no_work_is_placed_on_a_machine_of_which_only_an_old_report_is_known(harness):
     """It was returned under an earlier leader, and its copied report had it adopted and used."""
-    bed.state.elect("n1")
-    bed.elect()
-    placed = bed.submit(job())
-    Reports(bed.cluster).answer(copy("ghost", 9, 1, bed.cluster.token - 1), bed.clock.now_us())
-    bed.scheduler.schedule(bed.clock.now_us())
-    assert bed.cluster.machines["ghost"].phase == UP and not placed.live
-    Reports(bed.cluster).answer(copy("ghost", 10, 1, bed.cluster.token), bed.clock.now_us())  # it is there after all
-    bed.scheduler.schedule(bed.clock.now_us())
+    harness.state.elect("n1")
+    harness.elect()
+    placed = harness.submit(job())
+    Reports(harness.cluster).answer(copy("ghost", 9, 1, harness.cluster.token - 1), harness.clock.now_us())
+    harness.scheduler.schedule(harness.clock.now_us())
+    assert harness.cluster.machines["ghost"].phase == UP and not placed.live
+    Reports(harness.cluster).answer(
+        copy("ghost", 10, 1, harness.cluster.token), harness.clock.now_us()
+    )  # it is there after all
+    harness.scheduler.schedule(harness.clock.now_us())
     assert [task.machine.name for task in placed.live.values()] == ["ghost"]
 
 
--- a/tests/test_conditions.py
+++ b/tests/test_conditions.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from standins import Bed, Harness, job
+from standins import Harness, LeaderHarness, job
 from test_edges import ScriptedStore, body, users  # noqa: F401  (a fixture)
 from tideusher.actors.users import Users
 from tideusher.clock import SECOND_US
@@ -18,31 +18,31 @@
 from tideusher.wire.state import Put
 
 
-def status(bed, spec):
-    return bed.state.record_of(spec.id)["st"]
+def status(harness, spec):
+    return harness.state.record_of(spec.id)["st"]
 
 
-def step(bed, times=1):
+def step(harness, times=1):
     for _ in range(times):
-        bed.see_jobs()
-        bed.scheduler.schedule(bed.clock.now_us())
-        bed.commit()
+        harness.see_jobs()
+        harness.scheduler.schedule(harness.clock.now_us())
+        harness.commit()
 
 
 def after(other, on="afterok"):
     return [After(on, other.id)]
 
 
-def run_to_end(bed, spec, cause="done", host="host-1", first=2):
+def run_to_end(harness, spec, cause="done", host="host-1", first=2):
     """The only task of a placed job runs on the host and exits."""
     name = f"{spec.id}/0"
-    bed.report(host, first)
-    bed.report(host, first + 1, (name, 1, "running", None))
-    bed.report(host, first + 2, (name, 1, "exited", cause))
+    harness.report(host, first)
+    harness.report(host, first + 1, (name, 1, "running", None))
+    harness.report(host, first + 2, (name, 1, "exited", cause))
 
 
-def reasons(bed, spec):
-    return " ".join(explain.explain_job(bed.cluster, spec.id, bed.clock.now_us())["reasons"])
+def reasons(harness, spec):
+    return " ".join(explain.explain_job(harness.cluster, spec.id, harness.clock.now_us())["reasons"])
 
 
 # Dependencies
@@ -54,165 +54,169 @@
 )
 @pytest.mark.parametrize("new_leader", [False, True])
 @pytest.mark.parametrize("how", [JOB_DONE, JOB_CANCELLED])
-def test_each_kind_of_end_releases_or_ends_those_that_wait(bed, on, done, cancelled, how, new_leader):
+def test_each_kind_of_end_releases_or_ends_those_that_wait(harness, on, done, cancelled, how, new_leader):
     first, then = job(), job(after=None)
     then = msgspec.structs.replace(then, after=after(first, on))
-    waiting = bed.submit(then)  # the dependent's record is read before that of the job it names
-    bed.submit(first)
-    assert waiting.blocked and first.id in reasons(bed, then)
+    waiting = harness.submit(then)  # the dependent's record is read before that of the job it names
+    harness.submit(first)
+    assert waiting.blocked and first.id in reasons(harness, then)
     if how == JOB_DONE:
-        bed.report("host-1", 1)
-        step(bed)
+        harness.report("host-1", 1)
+        step(harness)
         assert not waiting.live
-        run_to_end(bed, first)
-        bed.commit()
+        run_to_end(harness, first)
+        harness.commit()
     else:
-        assert bed.state.cancel(first.id)
+        assert harness.state.cancel(first.id)
     if new_leader:
-        bed.elect()
-    step(bed, 2)
+        harness.elect()
+    step(harness, 2)
     expected = done if how == JOB_DONE else cancelled
     if expected == OPEN:
-        assert status(bed, then) == OPEN and not bed.cluster.jobs[then.id].blocked
+        assert status(harness, then) == OPEN and not harness.cluster.jobs[then.id].blocked
     else:
-        value = bed.state.record_of(then.id)
-        assert value["st"] == JOB_CANCELLED and first.id in value["why"] and then.id not in bed.cluster.jobs
+        value = harness.state.record_of(then.id)
+        assert value["st"] == JOB_CANCELLED and first.id in value["why"] and then.id not in harness.cluster.jobs
 
 
-def test_after_is_met_by_the_first_running_task_and_stays_so_when_the_job_is_cancelled(bed):
+def test_after_is_met_by_the_first_running_task_and_stays_so_when_the_job_is_cancelled(harness):
     first = job()
-    bed.place(first)
-    then = bed.submit(job(after=after(first, "after")))
-    bed.report("host-1", 2)
-    step(bed)
+    harness.place(first)
+    then = harness.submit(job(after=after(first, "after")))
+    harness.report("host-1", 2)
+    step(harness)
     assert then.blocked  # it has a place; that is no beginning
-    bed.report("host-1", 3, (f"{first.id}/0", 1, "running", None))
-    step(bed)
+    harness.report("host-1", 3, (f"{first.id}/0", 1, "running", None))
+    step(harness)
     assert not then.blocked
-    bed.state.cancel(first.id)
-    step(bed)
-    bed.report("host-1", 4, (f"{first.id}/0", 1, "exited", "stopped"))
-    step(bed)
-    assert first.id not in bed.cluster.jobs and "b" in bed.state.record_of(first.id)
-    bed.elect()
-    step(bed)
-    assert not bed.cluster.jobs[then.spec.id].blocked  # the next leader knows that it had begun
+    harness.state.cancel(first.id)
+    step(harness)
+    harness.report("host-1", 4, (f"{first.id}/0", 1, "exited", "stopped"))
+    step(harness)
+    assert first.id not in harness.cluster.jobs and "b" in harness.state.record_of(first.id)
+    harness.elect()
+    step(harness)
+    assert not harness.cluster.jobs[then.spec.id].blocked  # the next leader knows that it had begun
 
 
 @pytest.mark.parametrize("new_leader", [False, True])
-def test_a_task_that_was_done_between_two_reports_had_begun(bed, new_leader):
+def test_a_task_that_was_done_between_two_reports_had_begun(harness, new_leader):
     first = job("batch", 3, gpus=4.0)
-    bed.place(first)
-    then = bed.submit(job(after=after(first, "after")))
-    bed.report("host-1", 2)
-    bed.report("host-1", 3, (f"{first.id}/0", 1, "exited", "done"))
-    bed.commit()
+    harness.place(first)
+    then = harness.submit(job(after=after(first, "after")))
+    harness.report("host-1", 2)
+    harness.report("host-1", 3, (f"{first.id}/0", 1, "exited", "done"))
+    harness.commit()
     if new_leader:
-        bed.elect()
-    step(bed)
-    assert not bed.cluster.jobs[then.spec.id].blocked
+        harness.elect()
+    step(harness)
+    assert not harness.cluster.jobs[then.spec.id].blocked
 
 
-def test_what_a_cancelled_job_left_running_is_gone_before_those_after_it_start(bed):
+def test_what_a_cancelled_job_left_running_is_gone_before_those_after_it_start(harness):
     first = job()
-    bed.place(first)
-    then = bed.submit(job(after=after(first, "afterany")))
-    bed.report("host-1", 2)
-    bed.report("host-1", 3, (f"{first.id}/0", 1, "running", None))
-    bed.state.cancel(first.id)
-    step(bed)
+    harness.place(first)
+    then = harness.submit(job(after=after(first, "afterany")))
+    harness.report("host-1", 2)
+    harness.report("host-1", 3, (f"{first.id}/0", 1, "running", None))
+    harness.state.cancel(first.id)
+    step(harness)
     assert then.blocked and not then.live
-    bed.report("host-1", 4, (f"{first.id}/0", 1, "exited", "stopped"))
-    step(bed)
+    harness.report("host-1", 4, (f"{first.id}/0", 1, "exited", "stopped"))
+    step(harness)
     assert then.live
 
 
-def test_a_leader_dies_between_an_end_and_the_release_of_five_hundred(bed):
+def test_a_leader_dies_between_an_end_and_the_release_of_five_hundred(harness):
     """None is lost, none is started twice, and the release itself writes nothing."""
     first = job()
-    bed.place(first)
+    harness.place(first)
     specs = [job(after=after(first), gpus=0.1, cpus=0.1, ram_gb=0.1) for _ in range(500)]
     random.Random(1).shuffle(specs)
     for spec in specs:
-        bed.state.submit(spec, bed.clock.wall_us())
-    step(bed)
-    assert len(bed.cluster.active) == 1
-    run_to_end(bed, first)
-    bed.commit()
-    assert status(bed, first) == JOB_DONE
-    written = bed.state.tide
-    bed.elect()  # the old leader had released nobody yet
-    assert len(bed.cluster.active) == 500 and bed.state.tide == written + 1  # the election
-    bed.report("host-1", 9)
+        harness.state.submit(spec, harness.clock.wall_us())
+    step(harness)
+    assert len(harness.cluster.active) == 1
+    run_to_end(harness, first)
+    harness.commit()
+    assert status(harness, first) == JOB_DONE
+    written = harness.state.tide
+    harness.elect()  # the old leader had released nobody yet
+    assert len(harness.cluster.active) == 500 and harness.state.tide == written + 1  # the election
+    harness.report("host-1", 9)
     for _ in range(20):
-        step(bed)
-    starts = [(c.task, c.attempt) for c in bed.report("host-1", 10) if c.op == "run"]
-    placed = {name for name, one in bed.cluster.jobs.items() if one.live}
+        step(harness)
+    starts = [(c.task, c.attempt) for c in harness.report("host-1", 10) if c.op == "run"]
+    placed = {name for name, one in harness.cluster.jobs.items() if one.live}
     assert len(starts) == len(set(starts)) == len(placed) >= 30 and {attempt for _, attempt in starts} == {1}
-    bed.elect()
-    bed.report("host-1", 11)
-    assert bed.report("host-1", 12) == []  # what is placed already is not started by the next one again
+    harness.elect()
+    harness.report("host-1", 11)
+    assert harness.report("host-1", 12) == []  # what is placed already is not started by the next one again
 
 
-def test_a_chain_of_a_thousand_ends_with_its_first_once_and_through_a_change_of_leader(bed):
+def test_a_chain_of_a_thousand_ends_with_its_first_once_and_through_a_change_of_leader(harness):
     first = job()
     specs = [first]
     for _ in range(1000):
         specs.append(job(after=after(specs[-1])))
     for spec in random.Random(2).sample(specs, len(specs)):
-        bed.state.submit(spec, bed.clock.wall_us())
-    step(bed)
-    assert list(bed.cluster.active) == [first.id]
-    bed.state.cancel(first.id)
-    bed.see_jobs()
-    while bed.cluster.conditions.step(bed.clock.now_us()):
+        harness.state.submit(spec, harness.clock.wall_us())
+    step(harness)
+    assert list(harness.cluster.active) == [first.id]
+    harness.state.cancel(first.id)
+    harness.see_jobs()
+    while harness.cluster.conditions.step(harness.clock.now_us()):
         pass
     for _ in range(30):  # part of the ends is written when the leader dies
-        batch = bed.cluster.write_queue.next_batch(8)
-        bed.cluster.write_queue.batch_committed(bed.state.txn(batch.guards, batch.writes))
-    before = bed.state.tide
-    ended = [spec.id for spec in specs if status(bed, spec) == JOB_CANCELLED]
+        batch = harness.cluster.write_queue.next_batch(8)
+        harness.cluster.write_queue.batch_committed(harness.state.txn(batch.guards, batch.writes))
+    before = harness.state.tide
+    ended = [spec.id for spec in specs if status(harness, spec) == JOB_CANCELLED]
     assert 200 < len(ended) < 300
-    bed.elect()
+    harness.elect()
     for _ in range(6):
-        step(bed)
-    values = [bed.state.record_of(spec.id) for spec in specs]
+        step(harness)
+    values = [harness.state.record_of(spec.id) for spec in specs]
     assert all(value["st"] == JOB_CANCELLED for value in values)
     assert all(spec.after[0].job in value["why"] for spec, value in zip(specs[1:], values[1:], strict=True))
-    rewritten = [name for name in ended if bed.state.stamp_of(keys.job_key(name)) > before]
-    assert not rewritten and bed.state.tide - before <= 1000 // 7
-    assert not bed.cluster.jobs and not bed.cluster.conditions._on_end and not bed.cluster.conditions._on_begin
+    rewritten = [name for name in ended if harness.state.stamp_of(keys.job_key(name)) > before]
+    assert not rewritten and harness.state.tide - before <= 1000 // 7
+    assert (
+        not harness.cluster.jobs
+        and not harness.cluster.conditions._on_end
+        and not harness.cluster.conditions._on_begin
+    )
 
 
-def test_what_is_doomed_but_not_written_yet_releases_nobody(bed):
+def test_what_is_doomed_but_not_written_yet_releases_nobody(harness):
     first = job()
     middle = job(after=after(first))
     last = job(after=after(middle, "afternotok"))
     for spec in (first, middle, last):
-        bed.submit(spec)
-    bed.state.cancel(first.id)
-    bed.see_jobs()
-    while bed.cluster.conditions.step(bed.clock.now_us()):
+        harness.submit(spec)
+    harness.state.cancel(first.id)
+    harness.see_jobs()
+    while harness.cluster.conditions.step(harness.clock.now_us()):
         pass
-    waiting = bed.cluster.jobs[last.id]
-    assert bed.cluster.jobs[middle.id].finish_dirty and waiting.blocked
-    bed.commit()
-    step(bed)
-    assert status(bed, middle) == JOB_CANCELLED and not waiting.blocked
+    waiting = harness.cluster.jobs[last.id]
+    assert harness.cluster.jobs[middle.id].finish_dirty and waiting.blocked
+    harness.commit()
+    step(harness)
+    assert status(harness, middle) == JOB_CANCELLED and not waiting.blocked
 
 
-def test_releases_come_in_bounded_pieces(bed, monkeypatch):
+def test_releases_come_in_bounded_pieces(harness, monkeypatch):
     monkeypatch.setattr(conditions, "PIECE", 10)
     first = job()
-    bed.submit(first)
+    harness.submit(first)
     for _ in range(35):
-        bed.submit(job(after=after(first, "afterany")))
-    bed.state.cancel(first.id)
-    bed.see_jobs()
+        harness.submit(job(after=after(first, "afterany")))
+    harness.state.cancel(first.id)
+    harness.see_jobs()
     woken = []
-    while bed.cluster.conditions.step(bed.clock.now_us()):
-        woken.append(len(bed.cluster.active))
-    assert woken == [10, 20, 30] and len(bed.cluster.active) == 35
+    while harness.cluster.conditions.step(harness.clock.now_us()):
+        woken.append(len(harness.cluster.active))
+    assert woken == [10, 20, 30] and len(harness.cluster.active) == 35
 
 
 # Acceptance
@@ -225,7 +229,7 @@
 
 @pytest.fixture
 def taking(store):
-    return Users(Bed().cluster.config, Bed().clock, store, conditions=True)
+    return Users(LeaderHarness().cluster.config, LeaderHarness().clock, store, conditions=True)
 
 
 def test_a_job_after_an_unknown_or_hopeless_one_is_refused(taking, store):
@@ -242,19 +246,19 @@
 
 
 def test_a_predecessor_cancelled_while_a_dependent_is_accepted_on_another_node_ends_it(taking, store):
-    bed = Bed()
-    bed.state = store.state
-    bed.elect()
+    harness = LeaderHarness()
+    harness.state = store.state
+    harness.elect()
     first, then = job(), job()
     taking.submit(body(first))
     stale = dict(store.mirror)
-    assert bed.state.cancel(first.id)  # on another node, told to its user
+    assert harness.state.cancel(first.id)  # on another node, told to its user
     store.mirror, sync = stale, store.sync
     store.sync = lambda timeout_s=0.0: True  # whose news has not come here
     assert taking.submit(body(then, after=[{"on": "afterok", "ref": first.id}])).status == 201
     store.sync = sync
-    step(bed, 2)
-    assert first.id in bed.state.record_of(then.id)["why"]
+    step(harness, 2)
+    assert first.id in harness.state.record_of(then.id)["why"]
     reply = taking.poll(then.id)
     assert reply.body.status == "withdrawn" and first.id in reply.body.why
 
@@ -295,55 +299,55 @@
 # Holds and times
 
 
-def test_a_hold_that_was_answered_beats_a_start_that_was_not_committed(bed):
+def test_a_hold_that_was_answered_beats_a_start_that_was_not_committed(harness):
     spec = job("batch", 3)
-    placed = bed.submit(spec)
-    bed.report("host-1", 1)
-    bed.commit()
-    bed.scheduler.schedule(bed.clock.now_us())
+    placed = harness.submit(spec)
+    harness.report("host-1", 1)
+    harness.commit()
+    harness.scheduler.schedule(harness.clock.now_us())
     assert placed.live[0].phase == COMMITTING
-    holding(bed).hold(spec.id, "hold", b'{"by":"anna"}')  # before our transaction arrives
-    bed.commit()
-    assert not placed.live and bed.report("host-1", 2) == []
-    assert "anna" in reasons(bed, spec) and spec.id not in bed.cluster.active
-    assert "a" not in bed.state.items.get(keys.chunk_key(spec.id, 0), ({},))[0]
-    bed.elect()
-    assert spec.id not in bed.cluster.active
-    assert holding(bed).hold(spec.id, "release", b"").body.status == "pending"
-    step(bed)
-    assert len(bed.cluster.jobs[spec.id].live) == 0  # the new leader has no machine yet
-    bed.report("host-1", 3)
-    step(bed)
-    assert len(bed.cluster.jobs[spec.id].live) == 3
-
-
-def holding(bed):
+    holding(harness).hold(spec.id, "hold", b'{"by":"anna"}')  # before our transaction arrives
+    harness.commit()
+    assert not placed.live and harness.report("host-1", 2) == []
+    assert "anna" in reasons(harness, spec) and spec.id not in harness.cluster.active
+    assert "a" not in harness.state.items.get(keys.chunk_key(spec.id, 0), ({},))[0]
+    harness.elect()
+    assert spec.id not in harness.cluster.active
+    assert holding(harness).hold(spec.id, "release", b"").body.status == "pending"
+    step(harness)
+    assert len(harness.cluster.jobs[spec.id].live) == 0  # the new leader has no machine yet
+    harness.report("host-1", 3)
+    step(harness)
+    assert len(harness.cluster.jobs[spec.id].live) == 3
+
+
+def holding(harness):
     store = ScriptedStore()
-    store.state = bed.state
+    store.state = harness.state
     store.sync()
-    return Users(bed.cluster.config, bed.clock, store, conditions=True)
+    return Users(harness.cluster.config, harness.clock, store, conditions=True)
 
 
-def test_a_hold_stops_nothing_that_was_committed_and_lets_nothing_more_start(bed):
+def test_a_hold_stops_nothing_that_was_committed_and_lets_nothing_more_start(harness):
     spec = job("batch", 6, gpus=1.0)
-    placed = bed.place(spec)
-    bed.report("host-1", 2)
+    placed = harness.place(spec)
+    harness.report("host-1", 2)
     assert len(placed.live) == 4
-    assert holding(bed).hold(spec.id, "hold", b"").body.held == "its user"
-    assert holding(bed).hold(spec.id, "hold", b"").status == 200  # a repeat
-    step(bed)
+    assert holding(harness).hold(spec.id, "hold", b"").body.held == "its user"
+    assert holding(harness).hold(spec.id, "hold", b"").status == 200  # a repeat
+    step(harness)
     running = [(f"{spec.id}/{i}", 1, "running", None) for i in (1, 2, 3)]
-    bed.report("host-1", 3, *running, (f"{spec.id}/0", 1, "exited", "done"))
-    step(bed)
+    harness.report("host-1", 3, *running, (f"{spec.id}/0", 1, "exited", "done"))
+    step(harness)
     assert set(placed.live) == {1, 2, 3}
-    holding(bed).hold(spec.id, "release", b"")
-    step(bed)
+    holding(harness).hold(spec.id, "release", b"")
+    step(harness)
     assert set(placed.live) == {1, 2, 3, 4}
 
 
-def test_holds_of_finished_and_unknown_jobs_and_bad_bodies_are_refused(bed):
-    bed.commit()
-    users, spec = holding(bed), job()  # noqa: F811
+def test_holds_of_finished_and_unknown_jobs_and_bad_bodies_are_refused(harness):
+    harness.commit()
+    users, spec = holding(harness), job()  # noqa: F811
     assert users.hold("req-99", "hold", b"").status == 404
     users.submit(body(spec, hold="anna"))
     assert users.poll(spec.id).body.held == "anna"
@@ -353,42 +357,42 @@
     assert users.hold(spec.id, "hold", b"").status == 409
 
 
-def test_a_job_starts_at_its_time_and_not_before(bed):
-    at = bed.clock.wall_us() / SECOND_US + 100
+def test_a_job_starts_at_its_time_and_not_before(harness):
+    at = harness.clock.wall_us() / SECOND_US + 100
     spec = job(not_before=at)
-    placed = bed.submit(spec)
-    bed.report("host-1", 1)
-    step(bed)
-    assert not placed.live and "1970-01-01 00:18:20 UTC" in reasons(bed, spec)
-    bed.elect()
-    bed.clock.pass_s(99)
-    bed.report("host-1", 2)
-    step(bed)
-    assert not bed.cluster.jobs[spec.id].live
-    bed.clock.pass_s(1)
-    bed.report("host-1", 3)
-    step(bed)
-    assert bed.cluster.jobs[spec.id].live
-
-
-def test_a_service_made_smaller_frees_by_proof_and_never_grows_again(bed):
+    placed = harness.submit(spec)
+    harness.report("host-1", 1)
+    step(harness)
+    assert not placed.live and "1970-01-01 00:18:20 UTC" in reasons(harness, spec)
+    harness.elect()
+    harness.clock.pass_s(99)
+    harness.report("host-1", 2)
+    step(harness)
+    assert not harness.cluster.jobs[spec.id].live
+    harness.clock.pass_s(1)
+    harness.report("host-1", 3)
+    step(harness)
+    assert harness.cluster.jobs[spec.id].live
+
+
+def test_a_service_made_smaller_frees_by_proof_and_never_grows_again(harness):
     spec = job("service", 6, gpus=1.0)
-    placed = bed.place(spec, "host-1", "host-2")
+    placed = harness.place(spec, "host-1", "host-2")
     hosts = {task.index: task.machine.name for task in placed.live.values()}
     for serial, state in ((2, None), (3, "running")):
         for host in ("host-1", "host-2"):
             listed = [(f"{spec.id}/{i}", 1, state, None) for i, name in hosts.items() if name == host and state]
-            bed.report(host, serial, *listed)
-    users = holding(bed)  # noqa: F811
+            harness.report(host, serial, *listed)
+    users = holding(harness)  # noqa: F811
     assert users.shrink(spec.id, b'{"pieces":2}').status == 200
     assert users.shrink(spec.id, b'{"pieces":4}').status == 200  # a repeat that came late
-    step(bed)
-    assert len(bed.cluster.direct) == 4 and len(placed.live) == 6 and placed.pending <= 0
-    bed.commit()
-    bed.elect()  # dies before anybody has stopped: the places are still known, and counted
-    placed = bed.cluster.jobs[spec.id]
-    assert placed.spec.tasks == 2 and len(placed.live) == 6 and bed.cluster.usage["red"][1] == 6.0
-    assert len(bed.cluster.direct) == 4
+    step(harness)
+    assert len(harness.cluster.direct) == 4 and len(placed.live) == 6 and placed.pending <= 0
+    harness.commit()
+    harness.elect()  # dies before anybody has stopped: the places are still known, and counted
+    placed = harness.cluster.jobs[spec.id]
+    assert placed.spec.tasks == 2 and len(placed.live) == 6 and harness.cluster.usage["red"][1] == 6.0
+    assert len(harness.cluster.direct) == 4
     for serial, ended in ((4, 3), (5, 99)):
         for host in ("host-1", "host-2"):
             listed = [
@@ -396,10 +400,10 @@
                 for i, name in hosts.items()
                 if name == host and not (serial == 5 and 2 <= i <= 3)
             ]
-            bed.report(host, serial, *listed)
-        step(bed)
-        bed.elect() if serial == 4 else None
-    assert set(bed.cluster.jobs[spec.id].live) == {0, 1} and bed.cluster.usage["red"][1] == 2.0
+            harness.report(host, serial, *listed)
+        step(harness)
+        harness.elect() if serial == 4 else None
+    assert set(harness.cluster.jobs[spec.id].live) == {0, 1} and harness.cluster.usage["red"][1] == 2.0
     other = job("batch", 2)
     users.submit(body(other))
     assert users.shrink(other.id, b'{"pieces":1}').status == 409
@@ -410,59 +414,59 @@
 # Limits
 
 
-def test_a_tasks_limit_counts_from_its_first_run_through_a_change_of_leader(bed):
+def test_a_tasks_limit_counts_from_its_first_run_through_a_change_of_leader(harness):
     spec = job("batch", 2, limit_s=30.0, estimate_s=30.0)
-    bed.place(spec)
-    bed.report("host-1", 2)
+    harness.place(spec)
+    harness.report("host-1", 2)
     names = [f"{spec.id}/{i}" for i in (0, 1)]
-    bed.report("host-1", 3, *[(name, 1, "running", None) for name in names])
-    bed.commit()
-    bed.clock.pass_s(20)
-    bed.elect()
-    bed.report("host-1", 4, *[(name, 1, "running", None) for name in names])
-    bed.clock.pass_s(12)
-    step(bed)
-    assert not bed.cluster.direct  # nothing was heard since the end of the limit
-    bed.report("host-1", 5, (names[0], 1, "exited", "done"), (names[1], 1, "running", None))
-    step(bed)
-    assert not bed.cluster.direct  # that may have been on its way since before
-    bed.report("host-1", 6, (names[1], 1, "running", None))
-    bed.scheduler.schedule(bed.clock.now_us())
-    assert not bed.cluster.direct  # not before it is written
-    bed.commit()
-    assert [d.command.task for d in bed.cluster.direct] == [names[1]]
-    bed.elect()  # dies before the worker hears of it
-    assert [d.command.task for d in bed.cluster.direct] == [names[1]]
-    bed.report("host-1", 7, (names[1], 1, "exited", "stopped"))
-    step(bed, 2)
-    value = bed.state.record_of(spec.id)
+    harness.report("host-1", 3, *[(name, 1, "running", None) for name in names])
+    harness.commit()
+    harness.clock.pass_s(20)
+    harness.elect()
+    harness.report("host-1", 4, *[(name, 1, "running", None) for name in names])
+    harness.clock.pass_s(12)
+    step(harness)
+    assert not harness.cluster.direct  # nothing was heard since the end of the limit
+    harness.report("host-1", 5, (names[0], 1, "exited", "done"), (names[1], 1, "running", None))
+    step(harness)
+    assert not harness.cluster.direct  # that may have been on its way since before
+    harness.report("host-1", 6, (names[1], 1, "running", None))
+    harness.scheduler.schedule(harness.clock.now_us())
+    assert not harness.cluster.direct  # not before it is written
+    harness.commit()
+    assert [d.command.task for d in harness.cluster.direct] == [names[1]]
+    harness.elect()  # dies before the worker hears of it
+    assert [d.command.task for d in harness.cluster.direct] == [names[1]]
+    harness.report("host-1", 7, (names[1], 1, "exited", "stopped"))
+    step(harness, 2)
+    value = harness.state.record_of(spec.id)
     assert (value["st"], value["why"]) == (JOB_CANCELLED, "1 of its 2 tasks ran longer than its limit of 30 s")
     assert "longer than its job's limit" in value["w"][-1]["why"]
 
 
-def test_a_gang_over_its_limit_is_stopped_whole_and_not_started_again(bed):
+def test_a_gang_over_its_limit_is_stopped_whole_and_not_started_again(harness):
     spec = job("gang", 2, gpus=3.0, limit_s=30.0)
-    placed = bed.place(spec, "host-1", "host-2")
+    placed = harness.place(spec, "host-1", "host-2")
     where = {task.machine.name: name for name, task in ((t.name, t) for t in placed.live.values())}
     for serial, state in ((2, None), (3, "running"), (4, "running"), (5, "running")):
         for host, name in where.items():
-            bed.report(host, serial, *([(name, 1, state, None)] if state else []))
-        bed.clock.pass_s(31 if serial == 3 else 1)
-        step(bed)
-    assert sorted(d.command.task for d in bed.cluster.direct) == sorted(where.values())
+            harness.report(host, serial, *([(name, 1, state, None)] if state else []))
+        harness.clock.pass_s(31 if serial == 3 else 1)
+        step(harness)
+    assert sorted(d.command.task for d in harness.cluster.direct) == sorted(where.values())
     for host, name in where.items():
-        bed.report(host, 6, (name, 1, "exited", "stopped"))
-    step(bed, 2)
-    assert "2 of its 2 tasks" in bed.state.record_of(spec.id)["why"]
+        harness.report(host, 6, (name, 1, "exited", "stopped"))
+    step(harness, 2)
+    assert "2 of its 2 tasks" in harness.state.record_of(spec.id)["why"]
 
 
-def test_a_requeued_task_of_an_array_stays_under_its_limit(bed):
+def test_a_requeued_task_of_an_array_stays_under_its_limit(harness):
     spec = job("batch", 6, at_once=2, gpus=1.0)
-    placed = bed.place(spec)
-    bed.report("host-1", 2)
-    assert set(placed.live) == {0, 1} and "its own limit of 2 at once" in reasons(bed, spec)
-    bed.report("host-1", 3, (f"{spec.id}/0", 1, "exited", "stopped"), (f"{spec.id}/1", 1, "running", None))
-    step(bed)
+    placed = harness.place(spec)
+    harness.report("host-1", 2)
+    assert set(placed.live) == {0, 1} and "its own limit of 2 at once" in reasons(harness, spec)
+    harness.report("host-1", 3, (f"{spec.id}/0", 1, "exited", "stopped"), (f"{spec.id}/1", 1, "running", None))
+    step(harness)
     assert set(placed.live) == {0, 1} and placed.live[0].attempt == 2
 
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -7,7 +7,7 @@
 import pytest
 from click.testing import CliRunner
 
-from standins import TYPE, Bed, FakeClock, StateStandIn, job, make_config
+from standins import TYPE, FakeClock, LeaderHarness, StateStandIn, job, make_config
 from tideusher.actors.gateway import Gateway
 from tideusher.actors.leader import Leader
 from tideusher.actors.replies import Reply
@@ -297,16 +297,16 @@
 
 def test_a_leader_without_contact_answers_no_longer_than_a_gateway_alone(gate):
     # A leader that alone had lost the state service once kept cancelled tasks running past their time.
-    bed = Bed()
-    election = Part(token=bed.cluster.token)
-    store = Part(contact_us=bed.clock.now_us(), listen=lambda f: None, lead=lambda leads: None)
-    leader = Leader(make_config(), Policy(), bed.clock, store, election, Part(), Metrics())
-    leader._engine = bed.engine()
+    harness = LeaderHarness()
+    election = Part(token=harness.cluster.token)
+    store = Part(contact_us=harness.clock.now_us(), listen=lambda f: None, lead=lambda leads: None)
+    leader = Leader(make_config(), Policy(), harness.clock, store, election, Part(), Metrics())
+    leader._engine = harness.engine()
     first, second = (Report("host-1", "1:2", "m4", "a", False, 1, serial, election.token) for serial in (1, 2))
     leader._act = lambda engine: None
-    assert leader.on_reports([first], bed.clock.now_us())[0].token == election.token
-    bed.clock.pass_s(14.0)
-    assert leader.on_reports([second], bed.clock.now_us()) == [None]
+    assert leader.on_reports([first], harness.clock.now_us())[0].token == election.token
+    harness.clock.pass_s(14.0)
+    assert leader.on_reports([second], harness.clock.now_us()) == [None]
 
 
 def test_a_node_that_the_state_service_shuns_follows_the_leader_that_peers_tell_of(gate):
@@ -321,22 +321,22 @@
 
 
 def test_a_waiting_and_a_stopped_job_are_explained_and_the_record_outlives_the_leader():
-    bed = Bed()
+    harness = LeaderHarness()
     spec = job("batch", 3, gpus=4.0, team="red")
-    placed = bed.place(spec)
-    told = explain.explain_job(bed.cluster, spec.id, bed.clock.now_us())
+    placed = harness.place(spec)
+    told = explain.explain_job(harness.cluster, spec.id, harness.clock.now_us())
     assert any("room on a machine" in reason for reason in told["reasons"])
-    bed.report("host-1", 2)
-    bed.report("host-1", 3, (f"{spec.id}/0", 1, "running", None))
+    harness.report("host-1", 2)
+    harness.report("host-1", 3, (f"{spec.id}/0", 1, "running", None))
     task = placed.live[0]
-    bed.cluster.halt(task, 0.0, "job req-9 of team blue needs the room")
-    bed.report("host-1", 4, (f"{spec.id}/0", 1, "exited", "stopped"))
-    bed.commit()
-    bed.elect()
-    told = explain.explain_job(bed.cluster, spec.id, bed.clock.now_us())
+    harness.cluster.halt(task, 0.0, "job req-9 of team blue needs the room")
+    harness.report("host-1", 4, (f"{spec.id}/0", 1, "exited", "stopped"))
+    harness.commit()
+    harness.elect()
+    told = explain.explain_job(harness.cluster, spec.id, harness.clock.now_us())
     assert [s["reason"] for s in told["stops"]] == ["job req-9 of team blue needs the room"]
-    assert {row["team"] for row in explain.teams(bed.cluster)} == {"red", "blue", "poor"}
-    assert [row["machine"] for row in explain.machines(bed.cluster, 0)] == ["host-1"]
+    assert {row["team"] for row in explain.teams(harness.cluster)} == {"red", "blue", "poor"}
+    assert [row["machine"] for row in explain.machines(harness.cluster, 0)] == ["host-1"]
 
 
 # Settings and the command line
--- a/tests/test_embed.py
+++ b/tests/test_embed.py
@@ -11,7 +11,7 @@
 import pytest
 
 from history import KIND, SETTINGS, TEAMS, BadHistory, History
-from standins import TYPE, Bed, FakeClock, make_config
+from standins import TYPE, FakeClock, LeaderHarness, make_config
 from test_journal import Crash, FaultyDisk
 from tideusher.clock import SECOND_US
 from tideusher.config import ConfigError, Policy
@@ -408,14 +408,14 @@
     """A leader's engine on the state stand-in, with workers that report and a program that stops at once."""
 
     def __init__(self):
-        self.bed = Bed()
+        self.harness = LeaderHarness()
         settings = make_config()
         settings.settings = msgspec.structs.replace(settings.settings, teams=TEAMS)
-        state, clock = self.bed.state, self.bed.clock
+        state, clock = self.harness.state, self.harness.clock
         self.engine = Engine(
             settings, Policy(), state.elect("n0"), clock.us, clock.wall_us, Metrics(), state.record_of, state.items
         )
-        self.cluster = self.bed.cluster = self.engine.cluster
+        self.cluster = self.harness.cluster = self.engine.cluster
         self.cluster.set_types([msgspec.structs.replace(TYPE, zones=[])])  # none can be rented here either
         self.gathered_us, self.tasks = clock.us, {}
         self.serial = dict.fromkeys((card.machine for card in SETTINGS.machines), 0)
@@ -431,7 +431,8 @@
             self.serial[name] += 1
             listed = [(task, *state) for (host, task), state in sorted(self.tasks.items()) if host == name]
             told = (
-                self.execute(name, self.bed.report(name, self.serial[name], *listed, zone=self.zones[name])) or told
+                self.execute(name, self.harness.report(name, self.serial[name], *listed, zone=self.zones[name]))
+                or told
             )
         return told
 
@@ -451,31 +452,31 @@
         return told
 
     def round(self, specs, ended, cancelled):
-        if self.bed.clock.us - self.gathered_us >= 5 * SECOND_US:
-            self.gathered_us = self.bed.clock.us
+        if self.harness.clock.us - self.gathered_us >= 5 * SECOND_US:
+            self.gathered_us = self.harness.clock.us
             self.cluster.gather(self.gathered_us)
         for key, state in list(self.tasks.items()):
             if key[1] in ended:
                 self.tasks[key] = (state[0], "exited", "done")
         self.settle()
         for name in sorted(cancelled):
-            self.bed.state.cancel(name)
+            self.harness.state.cancel(name)
             self.settle()
         for spec in specs:
-            self.bed.state.submit(spec, self.bed.clock.wall_us())
+            self.harness.state.submit(spec, self.harness.clock.wall_us())
         self.settle()
 
     def settle(self):
-        self.bed.see_jobs()
+        self.harness.see_jobs()
         saving = True
         while saving:
             busy = True
             while busy:
                 busy = self.report()
-                more = self.engine.tick(self.bed.clock.us)
+                more = self.engine.tick(self.harness.clock.us)
                 while more:
                     more = self.engine.continue_pass()
-                self.bed.commit()
+                self.harness.commit()
                 busy = busy or self.cluster.dirty or bool(self.engine.orders().direct)
                 busy = busy or any(task.sent is None for task in self.placed())
             saving = [key for key, state in self.tasks.items() if state[1] == "flushing"]
@@ -493,7 +494,7 @@
     """Feed both the same; returns how many jobs there were, and places compared. Raises where they differ."""
     rng, daemon = random.Random(seed), Daemon()
     program = Program(directory)
-    program.clock.us = daemon.bed.clock.us
+    program.clock.us = daemon.harness.clock.us
     placed = jobs = 0
     for number in range(rounds):
         specs = []
@@ -518,7 +519,7 @@
         ended = {name for name in running if name in ended or name.partition("/")[0] in gangs}  # a gang ends whole
         services = {name for name in gangs if daemon.cluster.jobs[name].is_service}
         ended -= {name for name in ended if name.partition("/")[0] in services}
-        for clock in (daemon.bed.clock, program.clock):
+        for clock in (daemon.harness.clock, program.clock):
             clock.pass_s(0.3)
         daemon.round(specs, ended, services)
         program.round(specs, ended, services)
--- a/tests/test_leader_faults.py
+++ b/tests/test_leader_faults.py
@@ -22,156 +22,158 @@
     return [(one.op, one.task, one.attempt) for one in commands]
 
 
-def told(bed, serial, *tasks, session=1, token=None, machine="host-1"):
+def told(harness, serial, *tasks, session=1, token=None, machine="host-1"):
     """What the worker says in answer to a direct call."""
     items = [TaskReport(name, attempt, state, cause) for name, attempt, state, cause in tasks]
-    token = bed.cluster.token if token is None else token
+    token = harness.cluster.token if token is None else token
     report = Report(machine, "127.0.0.1:9", "m4", "a", False, session, serial, token, None, items)
-    Reports(bed.cluster).look(report, bed.clock.now_us())
+    Reports(harness.cluster).look(report, harness.clock.now_us())
 
 
 # An order on its way, and a direct call that overtakes it
 
 
 @pytest.mark.parametrize("halted", [False, True])
-def test_the_answer_to_a_direct_call_proves_nothing_of_an_order_that_is_still_on_its_way(bed, halted):
+def test_the_answer_to_a_direct_call_proves_nothing_of_an_order_that_is_still_on_its_way(harness, halted):
     """A `/do` overtakes the answer to the worker's report: the place was freed, and then the task started there."""
     spec = job()
-    placed = bed.place(spec)
-    assert ops(bed.report("host-1", 2)) == [("run", f"{spec.id}/0", 1)]  # held up on its way
+    placed = harness.place(spec)
+    assert ops(harness.report("host-1", 2)) == [("run", f"{spec.id}/0", 1)]  # held up on its way
     if halted:
-        bed.cluster.halt(placed.live[0], 0.0, "something else needs the room")
-    told(bed, 3)  # newer than the order, and without the task
+        harness.cluster.halt(placed.live[0], 0.0, "something else needs the room")
+    told(harness, 3)  # newer than the order, and without the task
     task = placed.live[0]
     assert task.sent == (1, 2)
     if not halted:
-        bed.cluster.halt(task, 0.0, "something else needs the room")
+        harness.cluster.halt(task, 0.0, "something else needs the room")
     assert placed.live[0] is task  # not freed: it may start at any moment
-    assert ops(bed.report("host-1", 4, (f"{spec.id}/0", 1, "pulling", None))) == [("halt", f"{spec.id}/0", 1)]
-    bed.report("host-1", 5, (f"{spec.id}/0", 1, "exited", "stopped"))
+    assert ops(harness.report("host-1", 4, (f"{spec.id}/0", 1, "pulling", None))) == [("halt", f"{spec.id}/0", 1)]
+    harness.report("host-1", 5, (f"{spec.id}/0", 1, "exited", "stopped"))
     assert not placed.live
 
 
-def test_a_report_of_the_workers_own_after_the_order_is_proof(bed):
+def test_a_report_of_the_workers_own_after_the_order_is_proof(harness):
     spec = job()
-    placed = bed.place(spec)
-    bed.report("host-1", 2)
-    bed.cluster.halt(placed.live[0], 0.0, "something else needs the room")
-    told(bed, 3)
-    bed.report("host-1", 4)  # one report is in flight at a time: the answer to the one before was lost
+    placed = harness.place(spec)
+    harness.report("host-1", 2)
+    harness.cluster.halt(placed.live[0], 0.0, "something else needs the room")
+    told(harness, 3)
+    harness.report("host-1", 4)  # one report is in flight at a time: the answer to the one before was lost
     assert not placed.live
 
 
-def test_what_a_worker_that_follows_a_newer_leader_tells_in_a_direct_answer_changes_nothing(bed):
+def test_what_a_worker_that_follows_a_newer_leader_tells_in_a_direct_answer_changes_nothing(harness):
     """A deposed leader called workers, took what its successor had placed there for strays, and its own for lost."""
     spec = job()
-    placed = bed.place(spec)
-    bed.report("host-1", 2)
-    bed.report("host-1", 3, (f"{spec.id}/0", 1, "running", None))
-    told(bed, 9, ("req-000009/0", 1, "running", None), token=bed.cluster.token + 1)
-    bed.report("host-1", 4, (f"{spec.id}/0", 1, "running", None))
-    assert 0 in placed.live and bed.cluster.machines["host-1"].serial == 4
+    placed = harness.place(spec)
+    harness.report("host-1", 2)
+    harness.report("host-1", 3, (f"{spec.id}/0", 1, "running", None))
+    told(harness, 9, ("req-000009/0", 1, "running", None), token=harness.cluster.token + 1)
+    harness.report("host-1", 4, (f"{spec.id}/0", 1, "running", None))
+    assert 0 in placed.live and harness.cluster.machines["host-1"].serial == 4
 
 
 # A copy of an old report is the first that a new leader hears
 
 
-def test_a_new_session_proves_nothing_of_what_an_older_leader_may_yet_order(bed):
+def test_a_new_session_proves_nothing_of_what_an_older_leader_may_yet_order(harness):
     """A copy from an earlier session came first; the worker's next report, of a session that the old leader may still
     be answering, was then taken for proof that its tasks were gone."""
     spec = job()
-    bed.place(spec)
-    old = bed.cluster.token
-    bed.report("host-1", 2)
-    bed.elect()  # the old leader does not know yet, and has the place on record as we do
-    placed = bed.cluster.jobs[spec.id]
-    bed.report("host-1", 1, session=1, token=0)  # the copy
-    bed.report("host-1", 7, session=2, token=old)  # our answer to this is lost; the old leader's next is not
+    harness.place(spec)
+    old = harness.cluster.token
+    harness.report("host-1", 2)
+    harness.elect()  # the old leader does not know yet, and has the place on record as we do
+    placed = harness.cluster.jobs[spec.id]
+    harness.report("host-1", 1, session=1, token=0)  # the copy
+    harness.report("host-1", 7, session=2, token=old)  # our answer to this is lost; the old leader's next is not
     assert 0 in placed.live
-    bed.report("host-1", 9, session=2, token=old)
+    harness.report("host-1", 9, session=2, token=old)
     assert 0 in placed.live
-    bed.report("host-1", 10, session=2)  # it has seen our token: nothing of an older leader is carried out any more
+    harness.report(
+        "host-1", 10, session=2
+    )  # it has seen our token: nothing of an older leader is carried out any more
     assert 0 not in placed.live
 
 
-def test_copies_of_reports_from_before_change_nothing(bed):
+def test_copies_of_reports_from_before_change_nothing(harness):
     spec = job("batch", 2)
-    placed = bed.place(spec)
+    placed = harness.place(spec)
     names = [f"{spec.id}/{index}" for index in (0, 1)]
-    bed.report("host-1", 2)
-    bed.report("host-1", 3, (names[0], 1, "running", None), (names[1], 1, "running", None))
-    bed.commit()
-    before = dict(bed.state.items)
-    assert ops(bed.report("host-1", 1)) == []
-    assert ops(bed.report("host-1", 2)) == []
-    assert ops(bed.report("host-1", 2, (names[0], 1, "exited", "stopped"))) == []
-    bed.commit()
-    assert set(placed.live) == {0, 1} and bed.state.items == before
+    harness.report("host-1", 2)
+    harness.report("host-1", 3, (names[0], 1, "running", None), (names[1], 1, "running", None))
+    harness.commit()
+    before = dict(harness.state.items)
+    assert ops(harness.report("host-1", 1)) == []
+    assert ops(harness.report("host-1", 2)) == []
+    assert ops(harness.report("host-1", 2, (names[0], 1, "exited", "stopped"))) == []
+    harness.commit()
+    assert set(placed.live) == {0, 1} and harness.state.items == before
 
 
 # Machines that are deaf to what they are told
 
 
-def test_what_a_deaf_machine_was_told_in_vain_starts_elsewhere_and_it_gets_no_more_for_a_while(bed):
+def test_what_a_deaf_machine_was_told_in_vain_starts_elsewhere_and_it_gets_no_more_for_a_while(harness):
     spec = job()
-    placed = bed.place(spec)
+    placed = harness.place(spec)
     for serial in range(2, 2 + reachability.DEAF_AFTER):
-        assert ops(bed.report("host-1", serial)) == [("run", f"{spec.id}/0", 1)]  # told again and again
+        assert ops(harness.report("host-1", serial)) == [("run", f"{spec.id}/0", 1)]  # told again and again
         assert 0 in placed.live
-        bed.clock.pass_s(1.0)
-    assert ops(bed.report("host-1", 5)) == [] and 0 not in placed.live
-    bed.report("host-2", 1)
-    bed.scheduler.schedule(bed.clock.now_us())
-    bed.commit()
+        harness.clock.pass_s(1.0)
+    assert ops(harness.report("host-1", 5)) == [] and 0 not in placed.live
+    harness.report("host-2", 1)
+    harness.scheduler.schedule(harness.clock.now_us())
+    harness.commit()
     assert placed.live[0].machine.name == "host-2" and placed.live[0].attempt == 2
-    assert ops(bed.report("host-2", 2)) == [("run", f"{spec.id}/0", 2)]
-    deaf = bed.cluster.machines["host-1"]
-    assert bed.cluster.mass_failures.avoid_placement(deaf, bed.clock.now_us())
-    bed.clock.pass_s(11.0)
-    assert not bed.cluster.mass_failures.avoid_placement(deaf, bed.clock.now_us())
+    assert ops(harness.report("host-2", 2)) == [("run", f"{spec.id}/0", 2)]
+    deaf = harness.cluster.machines["host-1"]
+    assert harness.cluster.mass_failures.avoid_placement(deaf, harness.clock.now_us())
+    harness.clock.pass_s(11.0)
+    assert not harness.cluster.mass_failures.avoid_placement(deaf, harness.clock.now_us())
 
 
-def test_reports_that_a_cut_held_up_and_that_come_at_once_make_no_machine_deaf(bed):
+def test_reports_that_a_cut_held_up_and_that_come_at_once_make_no_machine_deaf(harness):
     """None of their answers had time to arrive: all machines of a zone got no work right after its cut."""
     spec = job()
-    placed, old = bed.place(spec), bed.cluster.token
+    placed, old = harness.place(spec), harness.cluster.token
     for serial in range(2, 12):
-        bed.report("host-1", serial)
-    machine = bed.cluster.machines["host-1"]
-    assert 0 in placed.live and not reachability.is_unresponsive(machine, bed.clock.now_us())
-    bed.elect()
+        harness.report("host-1", serial)
+    machine = harness.cluster.machines["host-1"]
+    assert 0 in placed.live and not reachability.is_unresponsive(machine, harness.clock.now_us())
+    harness.elect()
     for serial in range(12, 22):
-        bed.report("host-1", serial, token=old)
-    machine = bed.cluster.machines["host-1"]
-    assert not reachability.is_unresponsive(machine, bed.clock.now_us())
-    bed.clock.pass_s(1.0)
-    bed.report("host-1", 22)
+        harness.report("host-1", serial, token=old)
+    machine = harness.cluster.machines["host-1"]
+    assert not reachability.is_unresponsive(machine, harness.clock.now_us())
+    harness.clock.pass_s(1.0)
+    harness.report("host-1", 22)
     assert not machine.ignored_answers
 
 
-def test_a_machine_deaf_to_the_new_leader_is_returned_once_its_lease_is_over_and_not_before(bed):
+def test_a_machine_deaf_to_the_new_leader_is_returned_once_its_lease_is_over_and_not_before(harness):
     """What the last leader placed on it is gone by then, but nothing it says can prove that."""
     spec = job()
-    bed.place(spec)
-    old = bed.cluster.token
-    bed.report("host-1", 2)
-    bed.elect()
-    placed, w = bed.cluster.jobs[spec.id], bed.config.settings.workers
+    harness.place(spec)
+    old = harness.cluster.token
+    harness.report("host-1", 2)
+    harness.elect()
+    placed, w = harness.cluster.jobs[spec.id], harness.config.settings.workers
     lease_us, report_us = to_us(w.lease_s), to_us(w.report_s)
-    machines = bed.cluster.machines.values()
+    machines = harness.cluster.machines.values()
     for second in range(1, 10):
         session = 1 if second < 6 else 2
         listed = [(f"{spec.id}/0", 1, "running", None)] if session == 1 else []
-        bed.report("host-1", 10 + second, *listed, session=session, token=old)
-        due = list(reachability.machines_out_of_contact(machines, lease_us, report_us, bed.clock.now_us()))
+        harness.report("host-1", 10 + second, *listed, session=session, token=old)
+        due = list(reachability.machines_out_of_contact(machines, lease_us, report_us, harness.clock.now_us()))
         assert 0 in placed.live and not due, second
-        bed.clock.pass_s(1.0)
-    bed.report("host-1", 21, session=2, token=old)
-    ((machine, why),) = reachability.machines_out_of_contact(machines, lease_us, report_us, bed.clock.now_us())
+        harness.clock.pass_s(1.0)
+    harness.report("host-1", 21, session=2, token=old)
+    ((machine, why),) = reachability.machines_out_of_contact(machines, lease_us, report_us, harness.clock.now_us())
     assert machine.name == "host-1" and "no answer" in why
-    bed.report("host-1", 22, session=2)  # it heard us after all
+    harness.report("host-1", 22, session=2)  # it heard us after all
     assert (
-        not list(reachability.machines_out_of_contact(machines, lease_us, report_us, bed.clock.now_us()))
+        not list(reachability.machines_out_of_contact(machines, lease_us, report_us, harness.clock.now_us()))
         and 0 not in placed.live
     )
 
@@ -238,39 +240,39 @@
     assert state.txn(lost.guards, lost.writes) is None
 
 
-def test_what_a_leader_lost_can_apply_no_more_under_the_next_one(bed):
+def test_what_a_leader_lost_can_apply_no_more_under_the_next_one(harness):
     spec = job()
-    bed.submit(spec)
-    bed.report("host-1", 1)
-    bed.commit()
-    bed.scheduler.schedule(bed.clock.now_us())
-    lost = bed.cluster.write_queue.next_batch(8)
-    bed.cluster.write_queue.batch_failed(bed.state.stamp_of)
-    bed.elect()
-    assert bed.state.txn(lost.guards, lost.writes) is None
-    bed.report("host-1", 2)
-    bed.scheduler.schedule(bed.clock.now_us())
-    bed.commit()
-    assert bed.cluster.jobs[spec.id].live[0].attempt == 1
-
-
-def test_a_return_of_an_adopted_machine_is_persisted_before_the_cloud_hears_of_it(bed):
+    harness.submit(spec)
+    harness.report("host-1", 1)
+    harness.commit()
+    harness.scheduler.schedule(harness.clock.now_us())
+    lost = harness.cluster.write_queue.next_batch(8)
+    harness.cluster.write_queue.batch_failed(harness.state.stamp_of)
+    harness.elect()
+    assert harness.state.txn(lost.guards, lost.writes) is None
+    harness.report("host-1", 2)
+    harness.scheduler.schedule(harness.clock.now_us())
+    harness.commit()
+    assert harness.cluster.jobs[spec.id].live[0].attempt == 1
+
+
+def test_a_return_of_an_adopted_machine_is_persisted_before_the_cloud_hears_of_it(harness):
     """It reported before its rental was answered, and its adoption was dropped unwritten: the return was asked for
     with nothing on record."""
-    cluster = bed.cluster
+    cluster = harness.cluster
     cluster.renting.rent(PlannedRental("m4", "a", False, 1, "a test"))
-    bed.commit()
+    harness.commit()
     (rental,) = cluster.to_rent
     cluster.to_rent.clear()
-    bed.report("host-9", 1)
+    harness.report("host-9", 1)
     cluster.request_return(cluster.machines["host-9"], "it is idle")
-    cluster.renting.rented(rental, ["host-9"], bed.clock.now_us())
+    cluster.renting.rented(rental, ["host-9"], harness.clock.now_us())
     batch = cluster.write_queue.next_batch(8)
     assert not cluster.to_return
-    assert bed.state.txn(batch.guards, batch.writes) is not None
-    cluster.write_queue.batch_committed(bed.state.tide)
+    assert harness.state.txn(batch.guards, batch.writes) is not None
+    cluster.write_queue.batch_committed(harness.state.tide)
     assert [machine.name for machine in cluster.to_return] == ["host-9"]
-    assert bed.state.items[keys.rental_key(rental.name)][0]["returning"] == ["host-9"]
+    assert harness.state.items[keys.rental_key(rental.name)][0]["returning"] == ["host-9"]
 
 
 # Several controllers, in simulated time (`simulated_cluster.py`)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from region import Region
-from standins import Bed, job
+from standins import LeaderHarness, job
 from tideusher.clock import SECOND_US
 from tideusher.core.decide import task_failures
 from tideusher.core.decide.boots import Boots
@@ -64,96 +64,97 @@
     assert region.cluster.renting.asked()
 
 
-def failing(bed, spec, host, serial, session=1):
+def failing(harness, spec, host, serial, session=1):
     """Its task 0 has just failed there."""
-    task = bed.cluster.jobs[spec.id].live[0]
-    bed.report(host, serial, session=session)
-    bed.report(host, serial + 1, (task.name, task.attempt, "exited", "error"), session=session)
-    bed.commit()
+    task = harness.cluster.jobs[spec.id].live[0]
+    harness.report(host, serial, session=session)
+    harness.report(host, serial + 1, (task.name, task.attempt, "exited", "error"), session=session)
+    harness.commit()
 
 
 def test_a_job_that_fails_everywhere_costs_no_machine_and_is_tried_on():
     """No healthy machine goes back for it; pauses grow and are bounded; it is never called over; explain says so."""
-    bed = Bed()
+    harness = LeaderHarness()
     hosts = [f"host-{number}" for number in range(6)]
     serials = dict.fromkeys(hosts, 1)
     for host in hosts:
-        bed.report(host, 1)
-    bad, worse = (bed.submit(job("batch", 5, id=name, team="poor")) for name in ("req-800001", "req-800002"))
+        harness.report(host, 1)
+    bad, worse = (harness.submit(job("batch", 5, id=name, team="poor")) for name in ("req-800001", "req-800002"))
     pauses = []
     for _ in range(40):
-        bed.clock.pass_s(1.0)
+        harness.clock.pass_s(1.0)
         for host in hosts:
             serials[host] += 1
-            tasks = bed.cluster.machines[host].tasks.values() if host in bed.cluster.machines else ()
+            tasks = harness.cluster.machines[host].tasks.values() if host in harness.cluster.machines else ()
             listed = [(t.name, t.attempt, "exited", "error") for t in tasks if t.sent]
-            bed.report(host, serials[host], *listed)
-        bed.scheduler.schedule(bed.clock.now_us())
-        bed.commit()
+            harness.report(host, serials[host], *listed)
+        harness.scheduler.schedule(harness.clock.now_us())
+        harness.commit()
         for one in (bad, worse):
             if task_failures.at_fault(one):
-                pauses.append(one.not_before_us - bed.clock.now_us())
+                pauses.append(one.not_before_us - harness.clock.now_us())
                 assert len(one.live) <= 1
         for host in hosts:  # `run` goes out
             serials[host] += 1
-            bed.report(host, serials[host])
+            harness.report(host, serials[host])
     assert task_failures.at_fault(bad) and task_failures.at_fault(worse) and bad.pending == 5 - len(bad.live)
-    why = {m.drain_reason for m in bed.cluster.machines.values() if m.phase == RETURNING}
+    why = {m.drain_reason for m in harness.cluster.machines.values() if m.phase == RETURNING}
     assert all("idle" in reason for reason in why) and not any(
-        m.suspect_since_us for m in bed.cluster.machines.values()
+        m.suspect_since_us for m in harness.cluster.machines.values()
     )
     assert max(pauses) <= task_failures.LAST_PAUSE_US and max(pauses) > 10 * SECOND_US
-    told = explain.explain_job(bed.cluster, bad.spec.id, bed.clock.now_us())["reasons"]
+    told = explain.explain_job(harness.cluster, bad.spec.id, harness.clock.now_us())["reasons"]
     assert any("failed on" in reason and "tried" in reason or "next try" in reason for reason in told), told
-    assert bed.state.items[keys.job_key(bad.spec.id)][0]["st"] == "open"
+    assert harness.state.items[keys.job_key(bad.spec.id)][0]["st"] == "open"
 
 
 def test_a_faulty_machine_is_found_while_such_jobs_run_and_a_good_job_is_not_blamed():
-    bed = Bed()
+    harness = LeaderHarness()
     for host in ("host-1", "host-2"):
-        bed.report(host, 1)
-    bad = bed.submit(job("batch", 1, id="req-810001"))
+        harness.report(host, 1)
+    bad = harness.submit(job("batch", 1, id="req-810001"))
     for name in ("host-1", "host-3", "host-4"):
         bad.record_failure_on(name)
-    machine = bed.cluster.machines["host-1"]
+    machine = harness.cluster.machines["host-1"]
     machine.failures_by_job = {bad.spec.id: 5, "req-999999": 3}  # one at fault, one that is cancelled: no proof
-    assert task_failures.at_fault(bad) and not task_failures.judge(machine, bed.cluster.jobs, 0)
-    good, other = (bed.submit(job("batch", 4, id=name)) for name in ("req-810002", "req-810003"))
+    assert task_failures.at_fault(bad) and not task_failures.judge(machine, harness.cluster.jobs, 0)
+    good, other = (harness.submit(job("batch", 4, id=name)) for name in ("req-810002", "req-810003"))
     machine.failures_by_job[good.spec.id] = 1
-    assert not task_failures.judge(machine, bed.cluster.jobs, 0)
+    assert not task_failures.judge(machine, harness.cluster.jobs, 0)
     machine.failures_by_job[other.spec.id] = 1
-    assert task_failures.judge(machine, bed.cluster.jobs, 0) == task_failures.SUSPECT
-    now_us = bed.clock.now_us()
-    bed.cluster.check_failures(machine, now_us)
-    bed.scheduler.schedule(now_us)
+    assert task_failures.judge(machine, harness.cluster.jobs, 0) == task_failures.SUSPECT
+    now_us = harness.clock.now_us()
+    harness.cluster.check_failures(machine, now_us)
+    harness.scheduler.schedule(now_us)
     assert (
-        machine.suspect_since_us and not machine.tasks and bed.cluster.machines["host-2"].tasks
+        machine.suspect_since_us and not machine.tasks and harness.cluster.machines["host-2"].tasks
     )  # others take the work
-    assert task_failures.judge(machine, bed.cluster.jobs, now_us + task_failures.SURE_US) == task_failures.FAULTY
+    assert task_failures.judge(machine, harness.cluster.jobs, now_us + task_failures.SURE_US) == task_failures.FAULTY
     # One that has succeeded elsewhere is honest for good, on however many machines it fails.
     del machine.failures_by_job[other.spec.id]
     for name in ("host-5", "host-6", "host-7"):
         good.record_failure_on(name)
-    assert not task_failures.judge(machine, bed.cluster.jobs, 0)
+    assert not task_failures.judge(machine, harness.cluster.jobs, 0)
     good.mark_done(0)
     machine.failures_by_job[good.spec.id] = 2
     assert (
-        not task_failures.at_fault(good) and task_failures.judge(machine, bed.cluster.jobs, 0) == task_failures.FAULTY
+        not task_failures.at_fault(good)
+        and task_failures.judge(machine, harness.cluster.jobs, 0) == task_failures.FAULTY
     )
 
 
 def test_nothing_is_rented_or_stopped_for_a_job_at_fault():
-    bed = Bed()
-    bed.report("host-1", 1)
-    other = bed.place(job("batch", 4, id="req-820001", team="blue", gpus=1.0), "host-1")
-    bad = bed.submit(job("gang", 1, id="req-820002", gpus=4.0, cpus=16.0, team="red", priority="urgent"))
+    harness = LeaderHarness()
+    harness.report("host-1", 1)
+    other = harness.place(job("batch", 4, id="req-820001", team="blue", gpus=1.0), "host-1")
+    bad = harness.submit(job("gang", 1, id="req-820002", gpus=4.0, cpus=16.0, team="red", priority="urgent"))
     for name in ("host-7", "host-8", "host-9"):
         bad.record_failure_on(name)
-    before = len(bed.cluster.rentals)
-    bed.clock.pass_s(30)
-    bed.report("host-1", 9)
-    bed.scheduler.schedule(bed.clock.now_us())
-    assert len(bed.cluster.rentals) == before and all(task.halt_grace_s is None for task in other.live.values())
+    before = len(harness.cluster.rentals)
+    harness.clock.pass_s(30)
+    harness.report("host-1", 9)
+    harness.scheduler.schedule(harness.clock.now_us())
+    assert len(harness.cluster.rentals) == before and all(task.halt_grace_s is None for task in other.live.values())
     assert "failed on 3 machines" in bad.waiting_reason
 
 
@@ -221,74 +222,74 @@
 
 def test_a_plan_looks_no_further_than_what_can_be_asked_for(monkeypatch):
     """In a flood of arrays each pass planned machines for all that waited, and a few rentals of 50 went out."""
-    bed = Bed()
+    harness = LeaderHarness()
     for _ in range(40):
-        bed.submit(job("batch", 400, cpus=16.0, gpus=4.0, team="poor"))
+        harness.submit(job("batch", 400, cpus=16.0, gpus=4.0, team="poor"))
     made = []
     new_bin = Fleet._new_bin
     monkeypatch.setattr(Fleet, "_new_bin", lambda *words: made.append(1) or new_bin(*words))
-    bed.scheduler.schedule(bed.clock.now_us())
-    asked = bed.cluster.renting.asked()
+    harness.scheduler.schedule(harness.clock.now_us())
+    asked = harness.cluster.renting.asked()
     assert MOST_PLANNED <= len(made) < MOST_PLANNED + 401 and asked and max(rental.count for rental in asked) == 50
 
 
 def test_for_a_guest_cheap_machines_are_rented_and_ordinary_ones_only_after_long():
     """On a recorded day sweeps of a guest had ordinary machines rented at four times the price."""
-    bed = Bed()
+    harness = LeaderHarness()
     for team, ordinary in (("poor", False), ("red", True)):
-        sweep = bed.submit(job("batch", 8, team=team, cpus=16.0, gpus=4.0, spot=True))
-        bed.scheduler.schedule(bed.clock.now_us())
-        for rental in bed.cluster.renting.asked():
-            bed.cluster.renting.refused(rental, bed.clock.now_us())
-        bed.scheduler.schedule(bed.clock.now_us())
-        bed.scheduler.schedule(bed.clock.now_us())
-        assert any(not rental.spot for rental in bed.cluster.renting.asked()) is ordinary
+        sweep = harness.submit(job("batch", 8, team=team, cpus=16.0, gpus=4.0, spot=True))
+        harness.scheduler.schedule(harness.clock.now_us())
+        for rental in harness.cluster.renting.asked():
+            harness.cluster.renting.refused(rental, harness.clock.now_us())
+        harness.scheduler.schedule(harness.clock.now_us())
+        harness.scheduler.schedule(harness.clock.now_us())
+        assert any(not rental.spot for rental in harness.cluster.renting.asked()) is ordinary
         if team == "poor":
-            bed.clock.pass_s(GUEST_BOOTS * TYPE.boot_s + 1)
+            harness.clock.pass_s(GUEST_BOOTS * TYPE.boot_s + 1)
             for _ in range(3):
-                bed.scheduler.schedule(bed.clock.now_us())
-                for rental in bed.cluster.renting.asked():
+                harness.scheduler.schedule(harness.clock.now_us())
+                for rental in harness.cluster.renting.asked():
                     if rental.spot:
-                        bed.cluster.renting.refused(rental, bed.clock.now_us())
-            assert any(not rental.spot for rental in bed.cluster.renting.asked())
-            assert bed.state.cancel(sweep.spec.id)
-            bed.see_jobs()
-            for rental in bed.cluster.renting.asked():
-                bed.cluster.renting.refused(rental, bed.clock.now_us())
-            bed.clock.pass_s(60)
+                        harness.cluster.renting.refused(rental, harness.clock.now_us())
+            assert any(not rental.spot for rental in harness.cluster.renting.asked())
+            assert harness.state.cancel(sweep.spec.id)
+            harness.see_jobs()
+            for rental in harness.cluster.renting.asked():
+                harness.cluster.renting.refused(rental, harness.clock.now_us())
+            harness.clock.pass_s(60)
 
 
 def test_small_tasks_without_cards_leave_the_cpus_beside_free_cards():
     """The warm room had its cards free and no CPU left: live services waited for a boot beside free cards."""
-    bed = Bed()
-    bed.report("host-1", 1)
-    bed.report("host-2", 1)
-    bed.place(job("service", 4, priority="critical", cpus=3.0, gpus=1.0), "host-1", "host-2")
-    busy = {task.machine.name for one in bed.cluster.jobs.values() for task in one.live.values()}
+    harness = LeaderHarness()
+    harness.report("host-1", 1)
+    harness.report("host-2", 1)
+    harness.place(job("service", 4, priority="critical", cpus=3.0, gpus=1.0), "host-1", "host-2")
+    busy = {task.machine.name for one in harness.cluster.jobs.values() for task in one.live.values()}
     assert len(busy) == 1  # the other one's cards are free
-    bed.scheduler._c.fleet.warm = [(job("service", 1, job_class="web"), 2)]
-    bed.cluster.fleet.refresh_warm = lambda now_us, used: None
-    small = bed.submit(job("batch", 500, team="poor", cpus=0.25, gpus=0.0, ram_gb=0.1, job_class="small"))
-    bed.scheduler.schedule(bed.clock.now_us())
+    harness.scheduler._c.fleet.warm = [(job("service", 1, job_class="web"), 2)]
+    harness.cluster.fleet.refresh_warm = lambda now_us, used: None
+    small = harness.submit(job("batch", 500, team="poor", cpus=0.25, gpus=0.0, ram_gb=0.1, job_class="small"))
+    harness.scheduler.schedule(harness.clock.now_us())
     assert {task.machine.name for task in small.live.values()} == busy and len(small.live) == 16
 
 
 def test_who_was_served_is_told_by_class_and_team_and_when_a_job_first_runs_whole(caplog):
     caplog.set_level("INFO", "cluster")
-    bed = Bed()
-    pair = bed.place(job("batch", 2, id="req-850001", job_class="fit"))
-    late = bed.submit(job("batch", 1, id="req-850002", job_class="sim", cpus=16.0, gpus=4.0, team="blue"))
-    bed.report("host-1", 2)
-    bed.report("host-1", 3, ("req-850001/0", 1, "running", None))
+    harness = LeaderHarness()
+    pair = harness.place(job("batch", 2, id="req-850001", job_class="fit"))
+    late = harness.submit(job("batch", 1, id="req-850002", job_class="sim", cpus=16.0, gpus=4.0, team="blue"))
+    harness.report("host-1", 2)
+    harness.report("host-1", 3, ("req-850001/0", 1, "running", None))
     assert "runs whole" not in caplog.text
-    bed.report("host-1", 4, *((f"req-850001/{index}", 1, "running", None) for index in (0, 1)))
-    bed.report("host-1", 5, *((f"req-850001/{index}", 1, "running", None) for index in (0, 1)))
+    harness.report("host-1", 4, *((f"req-850001/{index}", 1, "running", None) for index in (0, 1)))
+    harness.report("host-1", 5, *((f"req-850001/{index}", 1, "running", None) for index in (0, 1)))
     assert caplog.text.count("req-850001 of red runs whole: 2 tasks") == 1 and not pair.pending and late.waits
-    metrics = bed.cluster.metrics
+    metrics = harness.cluster.metrics
     for number in range(MAX_LABELS + 5):  # users choose the names of classes
         metrics.job("asked", f"class-{number}", "red")
-    bed.clock.pass_s(70)
-    metrics.labelled_gauges = explain.oldest_waits(bed.cluster)
+    harness.clock.pass_s(70)
+    metrics.labelled_gauges = explain.oldest_waits(harness.cluster)
     text = metrics.text().decode()
     assert 'tideusher_jobs_started_by_class_total{kind="fit"} 1.0' in text
     assert 'tideusher_oldest_wait_seconds_by_team{kind="blue"} 70.0' in text
@@ -317,10 +318,10 @@
 
 def test_a_guest_that_came_just_now_does_not_keep_one_that_waited_long_from_ordinary_machines():
     """What found nothing under fewer rights says nothing of one that may use more."""
-    bed = Bed()
+    harness = LeaderHarness()
     fresh, patient = (Job(job("batch", 1, team="poor", spot=True), 1, 0, seen_us=0) for _ in range(2))
     now_us = fresh.seen_us = 1000 * SECOND_US
-    fleet = bed.cluster.fleet
+    fleet = harness.cluster.fleet
     for zone in TYPE.zones:
         fleet.refused((TYPE.name, zone, True), now_us)
     wishes = fleet.plan(now_us, [Request(fresh, 1), Request(patient, 1)], [], [])
--- a/tests/test_record_orders.py
+++ b/tests/test_record_orders.py
@@ -22,7 +22,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from standins import Bed, job, make_config
+from standins import LeaderHarness, job, make_config
 from tideusher.config import Policy
 from tideusher.core.model import keys
 from tideusher.core.model.cluster_state import ClusterState
@@ -55,11 +55,11 @@
     """Two jobs, two machines, and the records that a leader may write of them."""
 
     def __init__(self):
-        self.bed = Bed()
-        self.state = self.bed.state
+        self.harness = LeaderHarness()
+        self.state = self.harness.state
         self.specs = [job("batch", tasks) for tasks in JOBS]
         for spec in self.specs:
-            self.state.submit(spec, self.bed.clock.wall_us())
+            self.state.submit(spec, self.harness.clock.wall_us())
         self.attempts = 0
 
     def is_open(self, number):
@@ -123,7 +123,7 @@
 
     def cluster_state(self):
         """A picture built from what is on record."""
-        state, clock = self.state, self.bed.clock
+        state, clock = self.state, self.harness.clock
         cluster_state = ClusterState(make_config(), Policy(), clock.now_us(), clock.wall_us, state.record_of)
         cluster_state.build(state.read_all(), clock.now_us())
         return cluster_state
@@ -164,7 +164,7 @@
         if seed and rng.random() < 0.3:
             continue
         for key, value, stamp in waiting:
-            follower.apply(key, value, stamp, records.bed.clock.now_us())
+            follower.apply(key, value, stamp, records.harness.clock.now_us())
         waiting.clear()
         agrees(records, follower)
 
@@ -174,30 +174,30 @@
 def test_after_a_takeover_the_task_is_neither_forgotten_nor_run_twice(cancelled, followed):
     """Its machine went and was adopted by a late copy of a report, before its record was written."""
     records = Records()
-    follower, now_us = records.cluster_state(), records.bed.clock.now_us()
+    follower, now_us = records.cluster_state(), records.harness.clock.now_us()
     for step in [NAMED, PAGE, *[("cancelled", 0)] * cancelled, GONE, ADOPTED]:
         for key, value in records.step(*step):
             follower.apply(key, value, records.state.tide, now_us)
-    bed, spec = records.bed, records.specs[0]
-    bed.elect()
+    harness, spec = records.harness, records.specs[0]
+    harness.elect()
     if followed:
-        cluster = type(bed.cluster)(
-            bed.config, Policy(), bed.cluster.token, now_us, bed.clock.wall_us,
-            record_of=bed.state.record_of, cluster_state=follower, value_of=bed.state.value_of,
+        cluster = type(harness.cluster)(
+            harness.config, Policy(), harness.cluster.token, now_us, harness.clock.wall_us,
+            record_of=harness.state.record_of, cluster_state=follower, value_of=harness.state.value_of,
         )  # fmt: skip
         cluster.begin(now_us)
-        bed.cluster = cluster
-    cluster = bed.cluster
+        harness.cluster = cluster
+    cluster = harness.cluster
     placed = cluster.jobs[spec.id]
     assert {index: task.machine.name for index, task in placed.live.items()} == {0: "host-1"}
     assert placed.next_pending(2) == ([1] if not cancelled else placed.next_pending(2))
-    bed.commit()
+    harness.commit()
     assert [machine.name for machine in cluster.to_return] == ["host-1"]
     cluster.returned(["host-1"], now_us)
-    bed.commit()
+    harness.commit()
     assert not placed.live
     assert (spec.id in cluster.jobs) is not cancelled
     if cancelled:
-        assert spec.id not in (bed.state.value_of(keys.page_key(0)) or {})
+        assert spec.id not in (harness.state.value_of(keys.page_key(0)) or {})
     else:
         assert placed.next_pending(2) == [0, 1]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from standins import TYPE, Bed, WorkerStandIn, job, make_config
+from standins import TYPE, LeaderHarness, WorkerStandIn, job, make_config
 from tideusher.actors.leader import Leader
 from tideusher.clock import SECOND_US
 from tideusher.config import Policy, StateSettings, Team
@@ -218,8 +218,8 @@
 
 def test_a_report_of_a_calm_machine_costs_no_look_at_the_others():
     """A leader once looked through the whole fleet after each report of each machine."""
-    bed = Bed()
-    cluster = bed.cluster
+    harness = LeaderHarness()
+    cluster = harness.cluster
     looked = 0
 
     class Counted(dict):
@@ -234,16 +234,16 @@
     )
     for serial in (1, 2):
         for number in range(50):
-            bed.report(f"host-{number}", serial)
+            harness.report(f"host-{number}", serial)
     assert len(machines) == 50 and looked == 0
 
 
 def test_into_a_silent_zone_few_probes_go_at_a_time():
-    bed = Bed()
-    clock, cluster = bed.clock, bed.cluster
+    harness = LeaderHarness()
+    clock, cluster = harness.clock, harness.cluster
     for number in range(40):
         zone = "a" if number % 2 else "b"
-        bed.report(f"host-{number}", 1, zone=zone)
+        harness.report(f"host-{number}", 1, zone=zone)
     clock.pass_s(10.0)
     probing = {probe.machine.name for probe in cluster.review_silent_machines(clock.now_us(), set()).probes}
     assert len(probing) == 2 * SAMPLE  # both zones are silent
@@ -270,18 +270,18 @@
 
 
 def test_one_transaction_keeps_within_writes_conditions_and_bytes():
-    bed = Bed()
-    clock, cluster = bed.clock, bed.cluster
+    harness = LeaderHarness()
+    clock, cluster = harness.clock, harness.cluster
     ops = cluster.config.settings.state.txn_ops
     for number in range(ops + 1):
-        bed.submit(job("batch", 1, cpus=0.1, gpus=0.1))
-        bed.report(f"host-{number}", 1)
-    bed.scheduler.schedule(clock.now_us())
+        harness.submit(job("batch", 1, cpus=0.1, gpus=0.1))
+        harness.report(f"host-{number}", 1)
+    harness.scheduler.schedule(clock.now_us())
     written = []
     while (batch := cluster.write_queue.next_batch(1000)) is not None:
         assert len(batch.writes) <= ops and len(batch.guards) <= 4 * ops
         assert len(msgspec.json.encode(Txn(batch.guards, batch.writes))) <= 64 * 1024
-        revision = bed.state.txn(batch.guards, batch.writes)
+        revision = harness.state.txn(batch.guards, batch.writes)
         assert revision is not None
         cluster.write_queue.batch_committed(revision)
         written += [write.key for write in batch.writes]
@@ -290,34 +290,34 @@
 
 def test_rentals_wait_for_the_cloud_and_go_out_together():
     """79 small rentals once queued at the cloud when a whole fleet was wanted at the start."""
-    bed = Bed()
-    clock, cluster = bed.clock, bed.cluster
+    harness = LeaderHarness()
+    clock, cluster = harness.clock, harness.cluster
     cloud_rps = cluster.config.settings.cloud.rps
     for _ in range(3 * int(cloud_rps)):
-        bed.submit(job("service", 1, team="poor", gpus=4.0))
+        harness.submit(job("service", 1, team="poor", gpus=4.0))
         clock.pass_s(0.15)
-        bed.scheduler.schedule(clock.now_us())
+        harness.scheduler.schedule(clock.now_us())
     asked = sum(rental.count for rental in cluster.rentals.values())
     assert len(cluster.rentals) <= cloud_rps
     for rental in list(cluster.rentals.values()):
         cluster.renting.rented(rental, [f"{rental.name}-{n}" for n in range(rental.count)], clock.now_us())
-    bed.scheduler.schedule(clock.now_us())
+    harness.scheduler.schedule(clock.now_us())
     rest = [rental for rental in cluster.rentals.values() if not rental.answered]
     assert 0 < len(rest) <= 2 and asked + sum(rental.count for rental in rest) == 3 * cloud_rps
 
 
 def test_spot_able_work_leaves_ordinary_room_to_who_waits_for_it_and_takes_what_they_cannot_use():
-    bed = Bed()
-    clock, cluster = bed.clock, bed.cluster
+    harness = LeaderHarness()
+    clock, cluster = harness.clock, harness.cluster
     for name in ("host-1", "host-2"):
-        bed.report(name, 1)
-    bed.submit(job("service", 1, priority="critical"))
-    bed.scheduler.schedule(clock.now_us())
-    wide = bed.submit(job("gang", 2, gpus=4.0, cpus=12.0, one_zone=True, team="poor", priority="urgent"))
-    bed.scheduler.schedule(clock.now_us())
+        harness.report(name, 1)
+    harness.submit(job("service", 1, priority="critical"))
+    harness.scheduler.schedule(clock.now_us())
+    wide = harness.submit(job("gang", 2, gpus=4.0, cpus=12.0, one_zone=True, team="poor", priority="urgent"))
+    harness.scheduler.schedule(clock.now_us())
     assert not wide.live and wide.pending == 2  # one machine is whole, and another is asked for
-    batch = bed.submit(job("batch", 4, spot=True, team="blue"))
-    bed.scheduler.schedule(clock.now_us())
+    batch = harness.submit(job("batch", 4, spot=True, team="blue"))
+    harness.scheduler.schedule(clock.now_us())
     (half,) = [m.name for m in cluster.machines.values() if any(t.job.is_service for t in m.tasks.values())]
     assert {task.machine.name for task in batch.live.values()} == {half} and len(batch.live) == 3
 
@@ -339,9 +339,9 @@
 def waiting_bed(seed):
     """A leader with machines that are up and more work than they hold."""
     rng = random.Random(seed)
-    bed = Bed()
+    harness = LeaderHarness()
     for number in range(30):
-        bed.report(f"host-{number}", 1, zone=rng.choice("ab"), spot=rng.random() < 0.4)
+        harness.report(f"host-{number}", 1, zone=rng.choice("ab"), spot=rng.random() < 0.4)
     specs = []
     for number in range(40):
         shape = rng.choice(["service", "batch", "gang"])
@@ -357,13 +357,13 @@
                 priority={"service": "critical", "gang": "urgent", "batch": "standard"}[shape],
             )
         )
-        bed.submit(specs[-1])
-    bed.commit()
-    return bed
+        harness.submit(specs[-1])
+    harness.commit()
+    return harness
 
 
-def decisions(bed):
-    cluster = bed.cluster
+def decisions(harness):
+    cluster = harness.cluster
     places = sorted((t.name, t.attempt, m.name) for m in cluster.machines.values() for t in m.tasks.values())
     rentals = sorted((r.type, r.zone, r.spot, r.count) for r in cluster.rentals.values() if not r.answered)
     return places, rentals, sorted((m.name, m.phase, m.reserved) for m in cluster.machines.values())
@@ -385,16 +385,16 @@
     """The same is placed, stopped, held and rented as when every job looks for itself, in pass after pass."""
 
     def played(plain):
-        bed = waiting_bed(seed)
+        harness = waiting_bed(seed)
         with monkeypatch.context() as patch:
             if plain:
                 patch.setattr(RefusalCache, "refuses", lambda self, kind, spec, count: False)
             out = []
             for _ in range(4):
-                bed.scheduler.schedule(bed.clock.now_us())
-                out.append(decisions(bed))
-                bed.commit()
-                bed.clock.pass_s(0.5)
+                harness.scheduler.schedule(harness.clock.now_us())
+                out.append(decisions(harness))
+                harness.commit()
+                harness.clock.pass_s(0.5)
         return out
 
     assert played(plain=True) == played(plain=False)
@@ -402,31 +402,31 @@
 
 def test_a_flood_of_one_class_costs_few_looks_and_passes_rest(monkeypatch):
     """Eighty times a class once took a leader more than 400 s of processor time: each job looked in each pass."""
-    bed = Bed()
+    harness = LeaderHarness()
     for number in range(20):
-        bed.report(f"host-{number}", 1)
+        harness.report(f"host-{number}", 1)
     for _ in range(600):
-        bed.submit(job("service", 1, cpus=16.0, gpus=3.0, team="poor", priority="critical"))
-    bed.scheduler.schedule(bed.clock.now_us())
+        harness.submit(job("service", 1, cpus=16.0, gpus=3.0, team="poor", priority="critical"))
+    harness.scheduler.schedule(harness.clock.now_us())
     looks = []
     place = FreeCapacity.place
     monkeypatch.setattr(FreeCapacity, "place", lambda room, *more: looks.append(1) or place(room, *more))
-    pass_steps = sum(1 for _ in bed.scheduler.pass_steps(bed.clock.now_us()))
-    assert len(looks) <= 2 and sum(one.waits for one in bed.cluster.active.values()) == 580
+    pass_steps = sum(1 for _ in harness.scheduler.pass_steps(harness.clock.now_us()))
+    assert len(looks) <= 2 and sum(one.waits for one in harness.cluster.active.values()) == 580
     assert (
-        bed.scheduler.pause_us(pass_steps) == 580 * scheduler.PAUSE_PER_JOB_US
+        harness.scheduler.pause_us(pass_steps) == 580 * scheduler.PAUSE_PER_JOB_US
     )  # at most a tenth of a second for as many
     # A place that comes free is looked at again at once.
-    (task,) = next(one for one in bed.cluster.active.values() if one.live).live.values()
-    before, looks[:] = bed.cluster.capacity_changes, []
-    bed.cluster.free(task, bed.clock.now_us())
-    bed.scheduler.schedule(bed.clock.now_us())
-    assert bed.cluster.capacity_changes == before + 1 and len(looks) >= 1 and task.machine.tasks
+    (task,) = next(one for one in harness.cluster.active.values() if one.live).live.values()
+    before, looks[:] = harness.cluster.capacity_changes, []
+    harness.cluster.free(task, harness.clock.now_us())
+    harness.scheduler.schedule(harness.clock.now_us())
+    assert harness.cluster.capacity_changes == before + 1 and len(looks) >= 1 and task.machine.tasks
 
 
 def test_no_piece_looks_at_more_machines_than_its_bound_and_one_job_more(monkeypatch):
     """A whole pass once held a leader of 570 machines for 0.1 s, in which it served nobody."""
-    bed = waiting_bed(7)
+    harness = waiting_bed(7)
     looks = 0
     place = FreeCapacity.place
 
@@ -438,7 +438,7 @@
     monkeypatch.setattr(FreeCapacity, "place", counted)
     monkeypatch.setattr(scheduler, "PIECE_LOOKS", 100)
     most = before = 0
-    for _ in bed.scheduler.pass_steps(bed.clock.now_us()):
+    for _ in harness.scheduler.pass_steps(harness.clock.now_us()):
         most, before = max(most, looks - before), looks
     assert looks > 300 and 0 < most <= 100 + 2 * 30  # a job may look twice
 
@@ -446,20 +446,20 @@
 def test_what_changes_in_a_pause_is_not_used(monkeypatch):
     """Between two pieces a machine's return may be asked and a job cancelled: neither is touched again."""
     monkeypatch.setattr(scheduler, "PIECE_LOOKS", 1)
-    bed = Bed()
-    clock, cluster = bed.clock, bed.cluster
-    bed.report("host-1", 1)
-    bed.report("host-2", 1)
-    first, second, third = (bed.submit(job("service", 1, gpus=2.0, cpus=8.0)) for _ in range(3))
-    bed.commit()
-    going = bed.scheduler.pass_steps(clock.now_us())
+    harness = LeaderHarness()
+    clock, cluster = harness.clock, harness.cluster
+    harness.report("host-1", 1)
+    harness.report("host-2", 1)
+    first, second, third = (harness.submit(job("service", 1, gpus=2.0, cpus=8.0)) for _ in range(3))
+    harness.commit()
+    going = harness.scheduler.pass_steps(clock.now_us())
     while not any(one.live for one in (first, second, third)):
         next(going)
     ((used,),) = [[t.machine for t in one.live.values()] for one in (first, second, third) if one.live]
     waiting = [one for one in (first, second, third) if not one.live]
     cluster.request_return(used, "a test asks for it")
-    assert bed.state.cancel(waiting[0].spec.id)
-    bed.see_jobs()
+    assert harness.state.cancel(waiting[0].spec.id)
+    harness.see_jobs()
     for _ in going:
         pass
     assert not waiting[0].live
@@ -483,20 +483,20 @@
 
 
 def test_a_leader_answers_reports_between_the_pieces_of_a_pass():
-    bed = Bed()
+    harness = LeaderHarness()
     done = []
 
     class Election:
-        token = bed.cluster.token
+        token = harness.cluster.token
 
     class Store:
-        contact_us = bed.clock.now_us()
+        contact_us = harness.clock.now_us()
 
         def lead(self, leading):
             pass
 
-    leader = Leader(bed.cluster.config, POLICY, bed.clock, Store(), Election(), None, Metrics())
-    leader._engine = engine = bed.engine()
+    leader = Leader(harness.cluster.config, POLICY, harness.clock, Store(), Election(), None, Metrics())
+    leader._engine = engine = harness.engine()
     engine.scheduler = Slices(done)
     leader._act = lambda engine: None
     served = gevent.spawn(leader._serve)
@@ -524,13 +524,13 @@
 def test_a_machine_of_which_nobody_told_the_address_counts_as_not_answering(monkeypatch):
     """A probe of one that the cloud lists no more would have failed for its empty address, for ever."""
     monkeypatch.setattr(gevent, "sleep", lambda seconds: None)
-    bed = Bed()
-    leader = Leader(bed.cluster.config, POLICY, bed.clock, None, None, None, Metrics())
+    harness = LeaderHarness()
+    leader = Leader(harness.cluster.config, POLICY, harness.clock, None, None, None, Metrics())
     machine = Machine("host-1", TYPE.name, "a", True, "r", 16.0, 4.0, 64.0, 0)
     leader._probing.add(machine.name)
     leader._probe(7, machine)
     assert (
-        leader._inbox.get_nowait()[:2] == ("unanswered", (7, machine, False, bed.clock.now_us()))
+        leader._inbox.get_nowait()[:2] == ("unanswered", (7, machine, False, harness.clock.now_us()))
         and not leader._probing
     )
 
@@ -570,17 +570,17 @@
 def test_the_charges_of_any_number_of_teams_fit_one_value(count):
     """Of 500 teams they were five times what a value may hold, and no write of the leader's got through any more."""
     teams = [Team(f"team-with-a-long-name-{number:03d}", gpus=8.0, gpus_max=12.0) for number in range(count)]
-    bed = Bed(make_config(teams=teams, state=StateSettings(100.0, 50.0, 4.0, 8)))
-    ledger = bed.cluster.ledger
+    harness = LeaderHarness(make_config(teams=teams, state=StateSettings(100.0, 50.0, 4.0, 8)))
+    ledger = harness.cluster.ledger
     for _ in range(40):
-        bed.clock.pass_s(60)
+        harness.clock.pass_s(60)
         for number, team in enumerate(teams):
-            ledger.charge(team.name, 1000.0 / (1 + number), bed.clock.now_us())
-    value = ledger.to_value(bed.clock.now_us())
+            ledger.charge(team.name, 1000.0 / (1 + number), harness.clock.now_us())
+    value = ledger.to_value(harness.clock.now_us())
     assert len(msgspec.json.encode(value)) <= 4096
-    heir = Bed(make_config(teams=teams, state=StateSettings(100.0, 50.0, 4.0, 8))).cluster.ledger
-    heir.charge(teams[-1].name, 5.0, bed.clock.now_us())  # what is not in the value was not charged
-    heir.restore(value, bed.clock.now_us(), bed.clock.wall_us())
+    heir = LeaderHarness(make_config(teams=teams, state=StateSettings(100.0, 50.0, 4.0, 8))).cluster.ledger
+    heir.charge(teams[-1].name, 5.0, harness.clock.now_us())  # what is not in the value was not charged
+    heir.restore(value, harness.clock.now_us(), harness.clock.wall_us())
     kept = sum(heir.charged(team.name) for team in teams) / sum(ledger.charged(team.name) for team in teams)
     # 4 KiB hold some 90 names of this length; with charges that fall as 1/n these have three quarters of all.
     assert kept > {1: 0.999, 8: 0.999, 100: 0.9, 500: 0.7}[count]
--- a/tests/test_shared_records.py
+++ b/tests/test_shared_records.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from standins import TYPE, Bed, Harness, job, make_config
+from standins import TYPE, Harness, LeaderHarness, job, make_config
 from test_standby import Follower, Node, rebuilt
 from test_storm import random_job
 from tideusher.config import Policy, StateSettings, Team
@@ -36,43 +36,43 @@
     """A leader with room for many small tasks."""
     limits = {"rps": 100.0, "write_rps": 50.0, "value_kb": 4.0, "txn_ops": 8} | state
     teams = [Team("red", gpus=900.0, gpus_max=1000.0), Team("blue", gpus=900.0, gpus_max=1000.0)]
-    bed = Bed(make_config(teams=teams, state=StateSettings(**limits)), shared)
-    add_machines(bed, machines)
-    return bed
+    harness = LeaderHarness(make_config(teams=teams, state=StateSettings(**limits)), shared)
+    add_machines(harness, machines)
+    return harness
 
 
-def add_machines(bed, count):
+def add_machines(harness, count):
     names = [f"host-{number}" for number in range(count)]
-    bed.cluster.rentals["r"] = Rental("r", TYPE.name, "a", False, 50, True, names)
+    harness.cluster.rentals["r"] = Rental("r", TYPE.name, "a", False, 50, True, names)
     for name in names:
         one = Machine(name, TYPE.name, "a", False, "r", TYPE.cpus, TYPE.gpus, TYPE.ram_gb, 0)
         one.phase, one.last_contact_us, one.last_report_us, one.session, one.serial = (
             UP,
-            *[bed.clock.now_us()] * 2,
+            *[harness.clock.now_us()] * 2,
             1,
             1,
         )
-        one.idle_since_us = bed.clock.now_us()
-        bed.cluster.machines[name] = one
-    bed.cluster.write_queue.enqueue(bed.cluster.renting.entry(bed.cluster.rentals["r"]))
-    bed.commit()
+        one.idle_since_us = harness.clock.now_us()
+        harness.cluster.machines[name] = one
+    harness.cluster.write_queue.enqueue(harness.cluster.renting.entry(harness.cluster.rentals["r"]))
+    harness.commit()
 
 
-def small(bed, count=1, **fields):
+def small(harness, count=1, **fields):
     """Jobs of one small task each."""
     specs = [job(cpus=0.1, gpus=0.02, ram_gb=0.1, **fields) for _ in range(count)]
     for spec in specs:
-        bed.state.submit(spec, bed.clock.wall_us())
-    bed.see_jobs()
-    return [bed.cluster.jobs[spec.id] for spec in specs]
+        harness.state.submit(spec, harness.clock.wall_us())
+    harness.see_jobs()
+    return [harness.cluster.jobs[spec.id] for spec in specs]
 
 
-def place(bed):
-    bed.scheduler.schedule(bed.clock.now_us())
+def place(harness):
+    harness.scheduler.schedule(harness.clock.now_us())
 
 
-def next_batch(bed, room=8):
-    return bed.cluster.write_queue.next_batch(room)
+def next_batch(harness, room=8):
+    return harness.cluster.write_queue.next_batch(room)
 
 
 def pages_of(state):
@@ -116,40 +116,40 @@
     return counts
 
 
-def finish(bed, placed, serial=50):
+def finish(harness, placed, serial=50):
     """All tasks of these jobs are reported as done by their machines."""
     by_machine = {}
     for one in placed:
         for task in one.live.values():
             by_machine.setdefault(task.machine.name, []).append((task.name, task.attempt, "exited", "done"))
     for name, tasks in by_machine.items():
-        bed.report(name, serial, *tasks)
+        harness.report(name, serial, *tasks)
 
 
 # -------------------------------------------------------------------- what it is for
 
 
 def test_starts_and_ends_of_many_jobs_cost_a_few_writes():
-    bed = large()
-    placed = small(bed, 60)
-    place(bed)
-    counts = counted(bed.state)
-    bed.commit()
-    assert len(on_record(bed.state)) == 60 and counts["p"] <= 4 and not counts["r"]
+    harness = large()
+    placed = small(harness, 60)
+    place(harness)
+    counts = counted(harness.state)
+    harness.commit()
+    assert len(on_record(harness.state)) == 60 and counts["p"] <= 4 and not counts["r"]
     assert all(task.phase == "assigned" for one in placed for task in one.live.values())
     counts.clear()
-    finish(bed, placed)
-    bed.commit()
-    assert {bed.state.record_of(one.spec.id)["st"] for one in placed} == {JOB_DONE}
+    finish(harness, placed)
+    harness.commit()
+    assert {harness.state.record_of(one.spec.id)["st"] for one in placed} == {JOB_DONE}
     assert counts["j"] == 60 and counts["p"] <= 8
 
 
 def test_a_job_of_more_tasks_than_a_record_holds_keeps_records_of_its_own():
-    bed = large()
-    bed.submit(job("batch", 65, cpus=0.5, gpus=0.1, ram_gb=0.5))
-    place(bed)
-    bed.commit()
-    assert not pages_of(bed.state) and len(on_record(bed.state)) == 65
+    harness = large()
+    harness.submit(job("batch", 65, cpus=0.5, gpus=0.1, ram_gb=0.5))
+    place(harness)
+    harness.commit()
+    assert not pages_of(harness.state) and len(on_record(harness.state)) == 65
 
 
 def test_ten_thousand_jobs_that_end_at_once_cost_a_write_a_page():
@@ -195,57 +195,57 @@
 
 
 def test_a_page_is_full_to_its_limit_and_one_more_job_begins_another():
-    bed = large()
+    harness = large()
     specs = []
-    while len(pages_of(bed.state)) < 2:
-        specs += small(bed)
-        place(bed)
-        bed.commit()
-        assert all(len(msgspec.json.encode(value)) <= LIMIT for value in pages_of(bed.state).values())
+    while len(pages_of(harness.state)) < 2:
+        specs += small(harness)
+        place(harness)
+        harness.commit()
+        assert all(len(msgspec.json.encode(value)) <= LIMIT for value in pages_of(harness.state).values())
         assert len(specs) < 200
-    first, second = sorted(pages_of(bed.state).values(), key=len, reverse=True)
+    first, second = sorted(pages_of(harness.state).values(), key=len, reverse=True)
     assert len(second) == 1 and len(first) == len(specs) - 1
     assert (
         len(msgspec.json.encode(first)) + member_size(specs[-1].spec.id, next(iter(second.values()))) > LIMIT * 0.875
     )
-    assert on_record(bed.state) == in_memory(bed.cluster)
+    assert on_record(harness.state) == in_memory(harness.cluster)
 
 
 def test_a_record_that_grows_too_large_for_its_page_moves_with_all_it_says():
-    bed = large()
-    placed = small(bed, 90)
-    place(bed)
-    bed.commit()
-    (key,) = [key for key, members in pages_of(bed.state).items() if placed[0].spec.id in members]
+    harness = large()
+    placed = small(harness, 90)
+    place(harness)
+    harness.commit()
+    (key,) = [key for key, members in pages_of(harness.state).items() if placed[0].spec.id in members]
     for one in placed:
-        if one.spec.id in pages_of(bed.state)[key]:
+        if one.spec.id in pages_of(harness.state)[key]:
             for _ in range(2):  # a stop on record is some hundred bytes
-                bed.cluster.record_stop(one, one.live[0], "a reason that takes some room " * 2)
-    bed.commit()
-    assert all(len(msgspec.json.encode(value)) <= LIMIT for value in pages_of(bed.state).values())
-    assert on_record(bed.state) == in_memory(bed.cluster) and len(pages_of(bed.state)) > 1
-    assert on_record(bed.state) == in_memory(bed.elect())
+                harness.cluster.record_stop(one, one.live[0], "a reason that takes some room " * 2)
+    harness.commit()
+    assert all(len(msgspec.json.encode(value)) <= LIMIT for value in pages_of(harness.state).values())
+    assert on_record(harness.state) == in_memory(harness.cluster) and len(pages_of(harness.state)) > 1
+    assert on_record(harness.state) == in_memory(harness.elect())
 
 
 @pytest.mark.parametrize("value_kb", [2.0, 1.0])
 def test_pages_that_are_larger_than_a_lowered_limit_are_split_at_the_next_write(value_kb):
-    bed = large()
-    placed = small(bed, 80)
-    place(bed)
-    bed.commit()
-    before = in_memory(bed.cluster)
-    assert max(len(msgspec.json.encode(value)) for value in pages_of(bed.state).values()) > 3000
-    bed.config.settings.state.value_kb = value_kb
-    bed.elect()
-    for one in list(bed.cluster.jobs.values()):
-        bed.cluster.touch_chunk(one, 0)
+    harness = large()
+    placed = small(harness, 80)
+    place(harness)
+    harness.commit()
+    before = in_memory(harness.cluster)
+    assert max(len(msgspec.json.encode(value)) for value in pages_of(harness.state).values()) > 3000
+    harness.config.settings.state.value_kb = value_kb
+    harness.elect()
+    for one in list(harness.cluster.jobs.values()):
+        harness.cluster.touch_chunk(one, 0)
     written = []
-    carry_out = bed.state.txn
-    bed.state.txn = lambda guards, writes: written.extend(writes) or carry_out(guards, writes)
-    bed.commit()
+    carry_out = harness.state.txn
+    harness.state.txn = lambda guards, writes: written.extend(writes) or carry_out(guards, writes)
+    harness.commit()
     sizes = [len(msgspec.json.encode(w.value)) for w in written if isinstance(w, Put) and w.key.startswith("t/p/")]
     assert sizes and max(sizes) <= value_kb * 1024
-    assert on_record(bed.state) == before == in_memory(bed.elect()) and len(placed) == len(before)
+    assert on_record(harness.state) == before == in_memory(harness.elect()) and len(placed) == len(before)
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -307,100 +307,100 @@
 
 def two_jobs_in_flight():
     """Two jobs' first places in one page, in a transaction that is under way."""
-    bed = large()
-    placed = small(bed, 2)
-    bed.commit()
-    place(bed)
-    batch = next_batch(bed)
+    harness = large()
+    placed = small(harness, 2)
+    harness.commit()
+    place(harness)
+    batch = next_batch(harness)
     assert [write.key for write in batch.writes] == [keys.page_key(0)]
-    return bed, placed, batch
+    return harness, placed, batch
 
 
 def test_a_lost_page_is_written_again_and_the_lost_one_never_applies():
-    bed, placed, lost = two_jobs_in_flight()
-    bed.cluster.write_queue.batch_failed(bed.state.stamp_of)
-    assert not on_record(bed.state) and not bed.report("host-0", 2)
-    bed.commit()
-    assert on_record(bed.state) == in_memory(bed.cluster) and len(in_memory(bed.cluster)) == 2
-    stored = dict(bed.state.items)
-    assert bed.state.txn(lost.guards, lost.writes) is None and bed.state.items == stored
+    harness, placed, lost = two_jobs_in_flight()
+    harness.cluster.write_queue.batch_failed(harness.state.stamp_of)
+    assert not on_record(harness.state) and not harness.report("host-0", 2)
+    harness.commit()
+    assert on_record(harness.state) == in_memory(harness.cluster) and len(in_memory(harness.cluster)) == 2
+    stored = dict(harness.state.items)
+    assert harness.state.txn(lost.guards, lost.writes) is None and harness.state.items == stored
 
 
 def test_a_page_whose_answer_was_lost_is_found_as_written():
-    bed, placed, lost = two_jobs_in_flight()
-    assert bed.state.txn(lost.guards, lost.writes) is not None
-    bed.cluster.write_queue.batch_failed(bed.state.stamp_of)
-    assert bed.cluster.pages.home(placed[0].spec.id).stamp == bed.state.stamp_of(keys.page_key(0))
-    bed.commit()
-    assert on_record(bed.state) == in_memory(bed.cluster)
+    harness, placed, lost = two_jobs_in_flight()
+    assert harness.state.txn(lost.guards, lost.writes) is not None
+    harness.cluster.write_queue.batch_failed(harness.state.stamp_of)
+    assert harness.cluster.pages.home(placed[0].spec.id).stamp == harness.state.stamp_of(keys.page_key(0))
+    harness.commit()
+    assert on_record(harness.state) == in_memory(harness.cluster)
     assert [task.attempt for one in placed for task in one.live.values()] == [1, 1]
 
 
 def test_a_lost_page_that_applies_before_the_next_write_is_read_and_written_over():
-    bed, placed, lost = two_jobs_in_flight()
-    bed.cluster.write_queue.batch_failed(bed.state.stamp_of)
-    assert bed.state.txn(lost.guards, lost.writes) is not None  # late
-    batch = next_batch(bed)
-    assert bed.state.txn(batch.guards, batch.writes) is None
-    bed.cluster.write_queue.batch_failed(bed.state.stamp_of, unknown=False)
-    bed.commit()
-    assert on_record(bed.state) == in_memory(bed.cluster) and len(placed) == 2
+    harness, placed, lost = two_jobs_in_flight()
+    harness.cluster.write_queue.batch_failed(harness.state.stamp_of)
+    assert harness.state.txn(lost.guards, lost.writes) is not None  # late
+    batch = next_batch(harness)
+    assert harness.state.txn(batch.guards, batch.writes) is None
+    harness.cluster.write_queue.batch_failed(harness.state.stamp_of, unknown=False)
+    harness.commit()
+    assert on_record(harness.state) == in_memory(harness.cluster) and len(placed) == 2
 
 
 def test_two_jobs_of_a_page_that_are_cancelled_while_it_is_written_do_not_start():
-    bed = large()
-    placed = small(bed, 6)
-    bed.commit()
-    place(bed)
-    batch = next_batch(bed)
+    harness = large()
+    placed = small(harness, 6)
+    harness.commit()
+    place(harness)
+    batch = next_batch(harness)
     assert len(batch.writes) == 1  # one page for all six, guarded by the records of all
     assert {keys.job_key(one.spec.id) for one in placed} <= {guard.key for guard in batch.guards}
     for one in placed[1:3]:
-        assert bed.state.cancel(one.spec.id)
-    assert bed.state.txn(batch.guards, batch.writes) is None
-    bed.see_jobs()
-    bed.cluster.write_queue.batch_failed(bed.state.stamp_of, unknown=False)
-    bed.commit()
+        assert harness.state.cancel(one.spec.id)
+    assert harness.state.txn(batch.guards, batch.writes) is None
+    harness.see_jobs()
+    harness.cluster.write_queue.batch_failed(harness.state.stamp_of, unknown=False)
+    harness.commit()
     cancelled = {one.spec.id for one in placed[1:3]}
-    assert {name for name, _ in on_record(bed.state)} == {one.spec.id for one in placed} - cancelled
-    started = {command.task.partition("/")[0] for n in range(40) for command in bed.report(f"host-{n}", 9)}
+    assert {name for name, _ in on_record(harness.state)} == {one.spec.id for one in placed} - cancelled
+    started = {command.task.partition("/")[0] for n in range(40) for command in harness.report(f"host-{n}", 9)}
     assert started == {one.spec.id for one in placed} - cancelled
 
 
 def test_more_new_places_than_conditions_are_written_in_several_transactions():
-    bed = large()
-    placed = small(bed, 70)
-    place(bed)
+    harness = large()
+    placed = small(harness, 70)
+    place(harness)
     sizes = []
-    while (batch := next_batch(bed)) is not None:
+    while (batch := next_batch(harness)) is not None:
         assert len(batch.guards) <= 32
-        newly = {name for name, _ in on_record(bed.state)}
-        bed.cluster.write_queue.batch_committed(bed.state.txn(batch.guards, batch.writes))
-        for name in {name for name, _ in on_record(bed.state)} - newly:
+        newly = {name for name, _ in on_record(harness.state)}
+        harness.cluster.write_queue.batch_committed(harness.state.txn(batch.guards, batch.writes))
+        for name in {name for name, _ in on_record(harness.state)} - newly:
             assert keys.job_key(name) in {guard.key for guard in batch.guards}
         sizes.append(len(batch.entries))
-    assert max(sizes) > 20 and len(on_record(bed.state)) == len(placed)
+    assert max(sizes) > 20 and len(on_record(harness.state)) == len(placed)
 
 
 def test_a_task_that_ended_was_forgotten_and_is_placed_anew_has_a_new_attempt():
-    bed = large()
-    others, (one,) = small(bed, 3), small(bed)
-    place(bed)
-    bed.commit()
+    harness = large()
+    others, (one,) = small(harness, 3), small(harness)
+    place(harness)
+    harness.commit()
     first = one.live[0].machine.name
-    commands = bed.report(first, 2)
+    commands = harness.report(first, 2)
     assert (f"{one.spec.id}/0", 1) in {(command.task, command.attempt) for command in commands}
     failed = (f"{one.spec.id}/0", 1, "exited", "error")
     for serial in (3, 4):
-        commands = bed.report(first, serial, failed, *listed(first, others))
+        commands = harness.report(first, serial, failed, *listed(first, others))
     assert [(command.op, command.task) for command in commands] == [("forget", failed[0])]
-    bed.clock.pass_s(2.0)
+    harness.clock.pass_s(2.0)
     for number in range(40):
-        bed.report(f"host-{number}", 5, *listed(f"host-{number}", others))
-    place(bed)
-    bed.commit()
-    assert one.live[0].attempt == 2 and on_record(bed.state)[one.spec.id, 0] == [(2, one.live[0].machine.name)]
-    assert on_record(bed.state) == in_memory(bed.elect())
+        harness.report(f"host-{number}", 5, *listed(f"host-{number}", others))
+    place(harness)
+    harness.commit()
+    assert one.live[0].attempt == 2 and on_record(harness.state)[one.spec.id, 0] == [(2, one.live[0].machine.name)]
+    assert on_record(harness.state) == in_memory(harness.elect())
 
 
 def listed(machine, jobs):
@@ -413,120 +413,120 @@
 
 @pytest.mark.parametrize("applied", [True, False])
 def test_a_leader_that_ends_in_the_middle_of_a_move_loses_nothing(applied):
-    bed = large(shared=False)
-    placed = small(bed, 30)
-    place(bed)
-    bed.commit()
-    before = on_record(bed.state)
-    assert not pages_of(bed.state)
-    bed.shared = True
-    bed.elect()
-    for one in list(bed.cluster.jobs.values()):
-        bed.cluster.touch_chunk(one, 0)
+    harness = large(shared=False)
+    placed = small(harness, 30)
+    place(harness)
+    harness.commit()
+    before = on_record(harness.state)
+    assert not pages_of(harness.state)
+    harness.shared = True
+    harness.elect()
+    for one in list(harness.cluster.jobs.values()):
+        harness.cluster.touch_chunk(one, 0)
     for _ in range(2):
-        batch = next_batch(bed)
+        batch = next_batch(harness)
         assert any(isinstance(write, Delete) for write in batch.writes) or keys.FENCE in {w.key for w in batch.writes}
         assert len(batch.writes) <= 8
-        bed.cluster.write_queue.batch_committed(bed.state.txn(batch.guards, batch.writes))
-    last = next_batch(bed)
+        harness.cluster.write_queue.batch_committed(harness.state.txn(batch.guards, batch.writes))
+    last = next_batch(harness)
     if applied:
-        assert bed.state.txn(last.guards, last.writes) is not None
-    new = bed.elect()
+        assert harness.state.txn(last.guards, last.writes) is not None
+    new = harness.elect()
     assert 0 < len([name for name in new.pages.pages_by_job]) < len(placed)
-    assert on_record(bed.state) == before == in_memory(new)
-    assert bed.state.txn(last.guards, last.writes) is None
-    place(bed)
-    bed.commit()
-    assert on_record(bed.state) == before
+    assert on_record(harness.state) == before == in_memory(new)
+    assert harness.state.txn(last.guards, last.writes) is None
+    place(harness)
+    harness.commit()
+    assert on_record(harness.state) == before
 
 
 def test_a_gang_over_several_records_is_told_whole_or_not_at_all_beside_pages():
-    bed = large(machines=60)
+    harness = large(machines=60)
     spec = job("gang", 150, cpus=0.5, gpus=0.1, ram_gb=0.5)
-    others = small(bed, 4)
-    gang = bed.submit(spec)
-    place(bed)
+    others = small(harness, 4)
+    gang = harness.submit(spec)
+    place(harness)
     assert len(gang.live) == 150
-    while (batch := next_batch(bed, 1)) is not None:
-        assert bed.state.txn(batch.guards, batch.writes) is not None
-        bed.cluster.write_queue.batch_committed(bed.state.tide)
-        records = [key for key in bed.state.items if key.startswith(keys.CHUNK_PREFIX)]
+    while (batch := next_batch(harness, 1)) is not None:
+        assert harness.state.txn(batch.guards, batch.writes) is not None
+        harness.cluster.write_queue.batch_committed(harness.state.tide)
+        records = [key for key in harness.state.items if key.startswith(keys.CHUNK_PREFIX)]
         if len(records) == 2:
             break
         assert all(task.phase == "committing" for task in gang.live.values())
-    bed.elect()
-    inherited = bed.cluster.jobs[spec.id]
+    harness.elect()
+    inherited = harness.cluster.jobs[spec.id]
     assert 0 < len(inherited.live) < 150
     assert all(task.halt_grace_s is not None for task in inherited.live.values())
     assert len(others) == 4
 
 
 def test_records_go_back_to_keys_of_their_own_and_the_fence_with_them():
-    bed = large()
-    placed = small(bed, 30)
-    place(bed)
-    bed.commit()
-    before = on_record(bed.state)
-    assert bed.state.items[keys.FENCE][0] is None and pages_of(bed.state)
-    bed.cluster.share_records(False)
-    bed.commit()
-    assert not pages_of(bed.state) and on_record(bed.state) == before and len(placed) == len(before)
-    assert bed.state.items[keys.FENCE][0] == {"by": bed.cluster.token}
-    assert in_memory(bed.elect()) == before
+    harness = large()
+    placed = small(harness, 30)
+    place(harness)
+    harness.commit()
+    before = on_record(harness.state)
+    assert harness.state.items[keys.FENCE][0] is None and pages_of(harness.state)
+    harness.cluster.share_records(False)
+    harness.commit()
+    assert not pages_of(harness.state) and on_record(harness.state) == before and len(placed) == len(before)
+    assert harness.state.items[keys.FENCE][0] == {"by": harness.cluster.token}
+    assert in_memory(harness.elect()) == before
 
 
 def test_what_ended_costs_no_write_of_its_own_and_does_not_pile_up():
-    bed = large()
-    kept, ended = small(bed, 10), small(bed, 50)
-    place(bed)
-    bed.commit()
-    counts = counted(bed.state)
+    harness = large()
+    kept, ended = small(harness, 10), small(harness, 50)
+    place(harness)
+    harness.commit()
+    counts = counted(harness.state)
     for number, one in enumerate(ended):
-        assert bed.state.cancel(one.spec.id)
-        bed.see_jobs()
+        assert harness.state.cancel(one.spec.id)
+        harness.see_jobs()
         for task in list(one.live.values()):
-            bed.report(task.machine.name, 20 + number)
-        bed.commit()
+            harness.report(task.machine.name, 20 + number)
+        harness.commit()
     assert counts["p"] <= 2 * len(ended) and not counts["r"]
-    members = [name for members in pages_of(bed.state).values() for name in members]
+    members = [name for members in pages_of(harness.state).values() for name in members]
     assert {one.spec.id for one in kept} <= set(members) and len(members) <= 2 * len(kept) + 10
-    assert {name for name, _ in in_memory(bed.elect())} >= {one.spec.id for one in kept}
+    assert {name for name, _ in in_memory(harness.elect())} >= {one.spec.id for one in kept}
 
 
 # -------------------------------------------------------------------- who follows
 
 
 def test_a_page_that_is_seen_before_a_jobs_record_places_the_job_once_that_is_seen():
-    bed = large()
-    (one,) = small(bed)
-    place(bed)
-    bed.commit()
-    cluster_state = ClusterState(bed.config, Policy(), bed.clock.now_us(), bed.clock.wall_us)
+    harness = large()
+    (one,) = small(harness)
+    place(harness)
+    harness.commit()
+    cluster_state = ClusterState(harness.config, Policy(), harness.clock.now_us(), harness.clock.wall_us)
     later = keys.job_key(one.spec.id)
-    for key, (value, stamp) in bed.state.read_all().items():
+    for key, (value, stamp) in harness.state.read_all().items():
         if key != later:
-            cluster_state.apply(key, value, stamp, bed.clock.now_us())
+            cluster_state.apply(key, value, stamp, harness.clock.now_us())
     assert one.spec.id not in cluster_state.jobs
-    cluster_state.apply(later, *bed.state.read_all()[later], bed.clock.now_us())
+    cluster_state.apply(later, *harness.state.read_all()[later], harness.clock.now_us())
     assert {i: task.machine.name for i, task in cluster_state.jobs[one.spec.id].live.items()} == {
         0: one.live[0].machine.name
     }
-    assert cluster_state.comparable() == rebuilt(bed.state, bed.clock, bed.config).comparable()
+    assert cluster_state.comparable() == rebuilt(harness.state, harness.clock, harness.config).comparable()
 
 
 @pytest.mark.parametrize("own_first", [True, False])
 def test_a_record_of_its_own_that_is_seen_before_its_job_counts_as_well(own_first):
-    bed = large(shared=False)
-    (one,) = small(bed)
-    place(bed)
-    bed.commit()
-    cluster_state = ClusterState(bed.config, Policy(), bed.clock.now_us(), bed.clock.wall_us)
+    harness = large(shared=False)
+    (one,) = small(harness)
+    place(harness)
+    harness.commit()
+    cluster_state = ClusterState(harness.config, Policy(), harness.clock.now_us(), harness.clock.wall_us)
     names = [keys.chunk_key(one.spec.id, 0), keys.job_key(one.spec.id)]
-    others = [key for key in bed.state.items if key not in names]
+    others = [key for key in harness.state.items if key not in names]
     for key in others + (names if own_first else names[::-1]):
-        cluster_state.apply(key, *bed.state.read_all()[key], bed.clock.now_us())
+        cluster_state.apply(key, *harness.state.read_all()[key], harness.clock.now_us())
     assert list(cluster_state.jobs[one.spec.id].live) == [0]
-    assert cluster_state.comparable() == rebuilt(bed.state, bed.clock, bed.config).comparable()
+    assert cluster_state.comparable() == rebuilt(harness.state, harness.clock, harness.config).comparable()
 
 
 @pytest.mark.parametrize("order", [(0, 1, 2), (0, 2, 1), (1, 0, 2), (1, 2, 0), (2, 0, 1), (2, 1, 0)])
@@ -559,76 +559,85 @@
 
 
 def test_a_standby_reads_pages_in_pieces_of_so_many_records_not_of_so_many_keys():
-    bed = large()
-    placed = small(bed, 300)
-    place(bed)
-    bed.commit()
-    assert len(pages_of(bed.state)) < 10
-    node = Node(bed.state, bed.clock)
-    node.config.settings.teams = bed.config.settings.teams
+    harness = large()
+    placed = small(harness, 300)
+    place(harness)
+    harness.commit()
+    assert len(pages_of(harness.state)) < 10
+    node = Node(harness.state, harness.clock)
+    node.config.settings.teams = harness.config.settings.teams
     node.read()
-    node.standby.begin(bed.clock.now_us())
+    node.standby.begin(harness.clock.now_us())
     pieces = 1
-    while node.standby.apply_step(bed.clock.now_us()):
+    while node.standby.apply_step(harness.clock.now_us()):
         pieces += 1
     assert pieces >= (300 + 300) / 2 / CHANGES_PER_STEP and len(node.standby.cluster_state.jobs) == len(placed)
-    assert not any(node.standby.audit(bed.clock.now_us()) for _ in range(10))
+    assert not any(node.standby.audit(harness.clock.now_us()) for _ in range(10))
 
 
 # -------------------------------------------------------------------- older versions
 
 
-def old_leader(bed):
+def old_leader(harness):
     """A leader of a version that reads no pages, and takes `null` for a key that is not there."""
-    token = bed.state.elect("n1")
+    token = harness.state.elect("n1")
     known = {
         key: (value, stamp)
-        for key, (value, stamp) in bed.state.items.items()
+        for key, (value, stamp) in harness.state.items.items()
         if value is not None and not key.startswith(keys.PAGE_PREFIX)
     }
     cluster = Cluster(
-        bed.config, Policy(), token, bed.clock.now_us(), bed.clock.wall_us, record_of=bed.state.record_of
+        harness.config,
+        Policy(),
+        token,
+        harness.clock.now_us(),
+        harness.clock.wall_us,
+        record_of=harness.state.record_of,
     )
-    cluster.load(known, bed.clock.now_us())
+    cluster.load(known, harness.clock.now_us())
     cluster.set_types([TYPE])
     return cluster
 
 
 def test_an_old_controller_that_comes_back_and_is_elected_starts_nothing():
-    bed = large()
-    placed = small(bed, 5)
-    place(bed)
-    bed.commit()
-    stored = on_record(bed.state)
-    old = old_leader(bed)
+    harness = large()
+    placed = small(harness, 5)
+    place(harness)
+    harness.commit()
+    stored = on_record(harness.state)
+    old = old_leader(harness)
     for name in old.machines:
-        old.machines[name].phase, old.machines[name].last_report_us = UP, bed.clock.now_us()
-        old.machines[name].last_contact_us = bed.clock.now_us()
-    Scheduler(old, bed.clock.now_us()).schedule(bed.clock.now_us())
+        old.machines[name].phase, old.machines[name].last_report_us = UP, harness.clock.now_us()
+        old.machines[name].last_contact_us = harness.clock.now_us()
+    Scheduler(old, harness.clock.now_us()).schedule(harness.clock.now_us())
     assert any(old.jobs[one.spec.id].live for one in placed)  # it takes them for jobs that never began
     for _ in range(3):
         batch = old.write_queue.next_batch(8)
-        assert bed.state.txn(batch.guards, batch.writes) is None
+        assert harness.state.txn(batch.guards, batch.writes) is None
         old.write_queue.batch_failed(
-            lambda key: bed.state.stamp_of(key) if bed.state.items.get(key, (None,))[0] else 0
+            lambda key: harness.state.stamp_of(key) if harness.state.items.get(key, (None,))[0] else 0
         )
-    assert on_record(bed.state) == stored == in_memory(bed.elect())
+    assert on_record(harness.state) == stored == in_memory(harness.elect())
 
 
 def test_without_the_fence_an_old_controller_would_start_them_again():
     """What the test above would miss without the guard."""
-    bed = large()
-    small(bed, 5)
-    place(bed)
-    bed.commit()
-    bed.state.items[keys.FENCE] = ({"by": 1}, bed.state.stamp_of(keys.FENCE))
-    old = old_leader(bed)
+    harness = large()
+    small(harness, 5)
+    place(harness)
+    harness.commit()
+    harness.state.items[keys.FENCE] = ({"by": 1}, harness.state.stamp_of(keys.FENCE))
+    old = old_leader(harness)
     for machine in old.machines.values():
-        machine.phase, machine.last_report_us, machine.last_contact_us = UP, bed.clock.now_us(), bed.clock.now_us()
-    Scheduler(old, bed.clock.now_us()).schedule(bed.clock.now_us())
+        machine.phase, machine.last_report_us, machine.last_contact_us = (
+            UP,
+            harness.clock.now_us(),
+            harness.clock.now_us(),
+        )
+    Scheduler(old, harness.clock.now_us()).schedule(harness.clock.now_us())
     while (batch := old.write_queue.next_batch(8)) is not None:
-        old.write_queue.batch_committed(bed.state.txn(batch.guards, batch.writes))
-    assert any(len(places) > 1 for places in on_record(bed.state).values())
+        old.write_queue.batch_committed(harness.state.txn(batch.guards, batch.writes))
+    assert any(len(places) > 1 for places in on_record(harness.state).values())
 
 
 def test_pages_are_written_once_all_were_heard_to_read_them_and_until_one_is_heard_that_does_not():
@@ -643,10 +652,10 @@
 
 
 def test_the_fence_is_closed_before_or_with_the_first_page():
-    bed = Bed(make_config(), shared=True)
-    bed.commit()
-    bed.place(job(cpus=0.5), "host-1")
-    assert pages_of(bed.state) and bed.state.items[keys.FENCE][0] is None
+    harness = LeaderHarness(make_config(), shared=True)
+    harness.commit()
+    harness.place(job(cpus=0.5), "host-1")
+    assert pages_of(harness.state) and harness.state.items[keys.FENCE][0] is None
 
 
 # -------------------------------------------------------------------- storms and planted faults
@@ -720,11 +729,11 @@
 
 def test_a_planted_missing_guard_lets_a_start_beat_a_cancellation(monkeypatch):
     monkeypatch.setattr(transactions, "_places_anew", lambda value, stored: False)
-    bed, placed, batch = two_jobs_in_flight()
-    assert bed.state.cancel(placed[0].spec.id)
-    assert bed.state.txn(batch.guards, batch.writes) is not None  # as it must not
-    assert (placed[0].spec.id, 0) in on_record(bed.state)
-    assert bed.state.record_of(placed[0].spec.id)["st"] == JOB_CANCELLED
+    harness, placed, batch = two_jobs_in_flight()
+    assert harness.state.cancel(placed[0].spec.id)
+    assert harness.state.txn(batch.guards, batch.writes) is not None  # as it must not
+    assert (placed[0].spec.id, 0) in on_record(harness.state)
+    assert harness.state.record_of(placed[0].spec.id)["st"] == JOB_CANCELLED
 
 
 def test_a_planted_page_that_is_applied_twice_is_found(monkeypatch):
@@ -808,9 +817,9 @@
 
 
 def test_what_a_page_says_of_a_job_is_what_its_own_key_would():
-    bed = large()
-    (one,) = small(bed)
-    place(bed)
-    bed.commit()
-    (page,) = pages_of(bed.state).values()
+    harness = large()
+    (one,) = small(harness)
+    place(harness)
+    harness.commit()
+    (page,) = pages_of(harness.state).values()
     assert page == {one.spec.id: chunk_value(one, one.chunks[0])}
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from standins import Bed, Harness, job, make_config
+from standins import Harness, LeaderHarness, job, make_config
 from tideusher.clock import SECOND_US
 from tideusher.config import Policy, Team
 from tideusher.core.lead.engine import Engine
@@ -267,20 +267,20 @@
 
 def test_a_machine_is_on_record_before_any_task_on_it(monkeypatch):
     """A leader died as the record of a rental waited: the next took its tasks for gone and started them anew."""
-    bed = Bed()
-    bed.report("late-1", 1)  # adopted: its record is not urgent
-    bed.report("late-1", 2)
-    bed.submit(job("batch", 3))
-    bed.scheduler.schedule(bed.clock.now_us())
-    batch = bed.cluster.write_queue.next_batch(1)  # only one write a transaction goes through
+    harness = LeaderHarness()
+    harness.report("late-1", 1)  # adopted: its record is not urgent
+    harness.report("late-1", 2)
+    harness.submit(job("batch", 3))
+    harness.scheduler.schedule(harness.clock.now_us())
+    batch = harness.cluster.write_queue.next_batch(1)  # only one write a transaction goes through
     assert [write.key for write in batch.writes] == [keys.rental_key("adopted-late-1")]
     monkeypatch.setattr(Renting, "write_those_of", lambda self, machines: None)
-    bed = Bed()
-    bed.report("late-1", 1)
-    bed.submit(job("batch", 3))
-    bed.scheduler.schedule(bed.clock.now_us())
+    harness = LeaderHarness()
+    harness.report("late-1", 1)
+    harness.submit(job("batch", 3))
+    harness.scheduler.schedule(harness.clock.now_us())
     # What the guard is against.
-    assert bed.cluster.write_queue.next_batch(1).writes[0].key.startswith(keys.CHUNK_PREFIX)
+    assert harness.cluster.write_queue.next_batch(1).writes[0].key.startswith(keys.CHUNK_PREFIX)
 
 
 # ---------------------------------------------------------------- charges
@@ -329,43 +329,43 @@
 
 
 def test_what_was_placed_after_the_last_written_charges_is_charged_by_the_heir():
-    bed = Bed()
-    bed.submit(job("service", 2))
-    node = Node(bed.state, bed.clock)
+    harness = LeaderHarness()
+    harness.submit(job("service", 2))
+    node = Node(harness.state, harness.clock)
     for serial in (1, 2):
-        bed.report("host-1", serial)
-    bed.cluster.gather(bed.clock.now_us())
-    bed.commit()
+        harness.report("host-1", serial)
+    harness.cluster.gather(harness.clock.now_us())
+    harness.commit()
     node.read()
     node.follow()
-    bed.scheduler.schedule(bed.clock.now_us())
-    bed.commit()
-    charged = bed.cluster.ledger.charged("red")
+    harness.scheduler.schedule(harness.clock.now_us())
+    harness.commit()
+    charged = harness.cluster.ledger.charged("red")
     assert charged > 0
-    engine, *_ = node.lead(bed.state.elect("n9"))
+    engine, *_ = node.lead(harness.state.elect("n9"))
     assert engine.cluster.ledger.charged("red") == pytest.approx(charged)
 
 
 def test_an_inherited_task_runs_since_its_image_was_there():
     """Its protected time and its charges began anew with each leader that heard of it."""
-    bed = Bed()
-    bed.submit(job("gang", 1, estimate_s=30.0))
-    node = Node(bed.state, bed.clock)
-    bed.report("host-1", 1)
-    bed.commit()
+    harness = LeaderHarness()
+    harness.submit(job("gang", 1, estimate_s=30.0))
+    node = Node(harness.state, harness.clock)
+    harness.report("host-1", 1)
+    harness.commit()
     node.read()
     node.follow()
-    bed.scheduler.schedule(bed.clock.now_us())
-    bed.commit()
+    harness.scheduler.schedule(harness.clock.now_us())
+    harness.commit()
     node.read()
     node.follow()
-    begun = bed.clock.now_us()
-    bed.clock.pass_s(40.0)
-    engine, *_ = node.lead(bed.state.elect("n9"))
+    begun = harness.clock.now_us()
+    harness.clock.pass_s(40.0)
+    engine, *_ = node.lead(harness.state.elect("n9"))
     (task,) = [t for j in engine.cluster.jobs.values() for t in j.live.values()]
     told = [TaskReport(task.name, 1, "running", None)]
     report = Report("host-1", "127.0.0.1:9", "m4", "a", False, 1, 9, 0, None, told)
-    engine.reports.answer(report, bed.clock.now_us())
+    engine.reports.answer(report, harness.clock.now_us())
     assert task.running_us == begun + 2 * SECOND_US  # img-1 has 2 GB, the type fetches 1 GB a second
 
 
@@ -412,7 +412,7 @@
 
 def test_jobs_that_are_over_cost_a_standby_nothing():
     """A million of them would have doubled what a controller holds."""
-    clock, state = Bed().clock, StateStandIn()
+    clock, state = LeaderHarness().clock, StateStandIn()
     for number in range(500):
         value = {"st": "done", "at": 0, "n": 1}
         state.items[keys.job_key(f"req-{number}")] = (value, 1 + number)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -6,7 +6,7 @@
 import pytest
 
 from region import DEAD, MUTE, UP, Region
-from standins import Bed, job, make_config
+from standins import LeaderHarness, job, make_config
 from tideusher.actors.election import Election
 from tideusher.actors.store import Conflict, Unavailable
 from tideusher.clock import SECOND_US
@@ -116,15 +116,17 @@
 
 
 def test_two_that_believe_themselves_next_are_told_apart_by_the_guarded_key():
-    bed = Bed()
-    old = bed.cluster
-    one = bed.state.txn([keys_guard(old.token)], [put("n1")])
-    assert one is not None and bed.state.txn([keys_guard(old.token)], [put("n2")]) is None
-    bed.submit(job())
-    bed.report("host-1", 1)
-    bed.scheduler.schedule(bed.clock.now_us())
+    harness = LeaderHarness()
+    old = harness.cluster
+    one = harness.state.txn([keys_guard(old.token)], [put("n1")])
+    assert one is not None and harness.state.txn([keys_guard(old.token)], [put("n2")]) is None
+    harness.submit(job())
+    harness.report("host-1", 1)
+    harness.scheduler.schedule(harness.clock.now_us())
     batch = old.write_queue.next_batch(8)
-    assert bed.state.txn(batch.guards, batch.writes) is None  # the one that was wrongly suspected writes nothing more
+    assert (
+        harness.state.txn(batch.guards, batch.writes) is None
+    )  # the one that was wrongly suspected writes nothing more
 
 
 def keys_guard(token):
@@ -195,7 +197,7 @@
 
 
 def test_a_controller_ends_the_leadership_of_its_own_earlier_life_once():
-    store, clock = ScriptedStore(), Bed().clock
+    store, clock = ScriptedStore(), LeaderHarness().clock
     store.state.elect("n1")
     store.sync()
     made = election(store, clock)
@@ -214,7 +216,7 @@
 
 
 def test_a_leadership_is_taken_on_evidence_and_given_up_by_the_guarded_key():
-    store, clock = ScriptedStore(), Bed().clock
+    store, clock = ScriptedStore(), LeaderHarness().clock
     token = store.state.elect("n0")
     store.sync()
     ours = Candidate("n1", "b", True, behind=0, lost=token)
@@ -294,16 +296,16 @@
 
 
 def test_soft_facts_of_an_older_leader_or_too_old_are_not_used():
-    bed = Bed()
+    harness = LeaderHarness()
     kind = ("m4", "a", False)
-    told = ReceivedSoftState(SoftState(7, [CapacityRefusal(*kind, 9000, 2)]), bed.clock.now_us())
+    told = ReceivedSoftState(SoftState(7, [CapacityRefusal(*kind, 9000, 2)]), harness.clock.now_us())
     assert reason_unusable(None, 7, told.at_us) and reason_unusable(told, 8, told.at_us)
     assert reason_unusable(told, 7, told.at_us + 30 * SECOND_US) and not reason_unusable(
         told, 7, told.at_us + SECOND_US
     )
     woken = newer(told, SoftState(5, [CapacityRefusal("m4", "b", True, 60_000, 9)]), told.at_us + 1)
     assert woken is told  # an older leader stood still, wakes and tells what it knew
-    engine = bed.engine()
+    engine = harness.engine()
     assert restore(engine, told, told.at_us + 4 * SECOND_US) == 1
     assert not engine.cluster.fleet.available(kind, told.at_us + 8 * SECOND_US)
     assert engine.cluster.fleet.available(kind, told.at_us + 10 * SECOND_US)
--- a/tests/test_two_rentals.py
+++ b/tests/test_two_rentals.py
@@ -19,7 +19,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from standins import Bed, job, make_config
+from standins import LeaderHarness, job, make_config
 from tideusher.config import Policy
 from tideusher.core.decide.mass_failures import MASS_FAILURE_MACHINES
 from tideusher.core.model import keys
@@ -38,69 +38,69 @@
     return {**kind, "answered": answered, "machines": list(machines), "returning": list(returning)}
 
 
-def write(bed, key, value):
-    assert bed.state.txn([], [Put(key, value) if value is not None else Delete(key)])
+def write(harness, key, value):
+    assert harness.state.txn([], [Put(key, value) if value is not None else Delete(key)])
 
 
-def two_records(bed, returning):
+def two_records(harness, returning):
     """host-1 is named by two rentals, of which those in `returning` say that its return was asked."""
     for name, hosts in ((OWNER, ["host-1", "host-2"]), (ADOPTION, ["host-1"])):
         asked = ["host-1"] if name in returning else []
-        write(bed, keys.rental_key(name), rental_value(hosts, asked))
+        write(harness, keys.rental_key(name), rental_value(hosts, asked))
 
 
-def named(bed, host):
+def named(harness, host):
     """The rentals on record that name the machine."""
-    records = bed.state.read_all().items()
+    records = harness.state.read_all().items()
     return [key for key, (value, _) in records if key.startswith(keys.RENTAL_PREFIX) and host in value["machines"]]
 
 
-def returns(bed):
+def returns(harness):
     """What the cloud is asked for, once everything is written."""
-    bed.commit()
-    asked, bed.cluster.to_return = bed.cluster.to_return, []
+    harness.commit()
+    asked, harness.cluster.to_return = harness.cluster.to_return, []
     return [machine.name for machine in asked]
 
 
-def return_all(bed):
+def return_all(harness):
     """The cloud confirms all returns, until none is asked for any more."""
     for _ in range(5):
-        if not (names := returns(bed)):
+        if not (names := returns(harness)):
             return
-        bed.cluster.returned(names, bed.clock.now_us())
+        harness.cluster.returned(names, harness.clock.now_us())
     raise AssertionError("returns are asked for without end")
 
 
 @pytest.mark.parametrize("returning", [(OWNER,), (ADOPTION,), BOTH])
 def test_an_answer_of_many_names_is_taken_in_whole(returning):
-    bed = Bed()
+    harness = LeaderHarness()
     spec = job("batch", 2, gpus=4.0)
-    placed = bed.place(spec, "host-8", "host-9")
-    two_records(bed, returning)
-    bed.elect()
-    placed = bed.cluster.jobs[spec.id]
+    placed = harness.place(spec, "host-8", "host-9")
+    two_records(harness, returning)
+    harness.elect()
+    placed = harness.cluster.jobs[spec.id]
     for name in ("host-8", "host-9"):
-        bed.cluster.request_return(bed.cluster.machines[name], "the test has it returned")
+        harness.cluster.request_return(harness.cluster.machines[name], "the test has it returned")
     assert len(placed.live) == 2
-    return_all(bed)
+    return_all(harness)
     assert not placed.live and placed.pending == 2
-    assert set(bed.cluster.machines) == {"host-2"}
-    assert not any(named(bed, name) for name in ("host-1", "host-8", "host-9"))
-    assert {name: rental.machines for name, rental in bed.cluster.rentals.items()} == {OWNER: ["host-2"]}
+    assert set(harness.cluster.machines) == {"host-2"}
+    assert not any(named(harness, name) for name in ("host-1", "host-8", "host-9"))
+    assert {name: rental.machines for name, rental in harness.cluster.rentals.items()} == {OWNER: ["host-2"]}
 
 
 @pytest.mark.parametrize("returning", [(), (OWNER,), (ADOPTION,), BOTH])
 def test_no_later_leader_inherits_a_machine_that_is_gone(returning):
-    bed = Bed()
-    two_records(bed, returning)
-    bed.elect()
+    harness = LeaderHarness()
+    two_records(harness, returning)
+    harness.elect()
     if not returning:
-        bed.commit()
-        assert named(bed, "host-1") == [keys.rental_key(OWNER)]
-        bed.cluster.request_return(bed.cluster.machines["host-1"], "the test has it returned")
-    return_all(bed)
-    bed.elect()
-    assert set(bed.cluster.machines) == {"host-2"} and set(bed.cluster.rentals) == {OWNER}
+        harness.commit()
+        assert named(harness, "host-1") == [keys.rental_key(OWNER)]
+        harness.cluster.request_return(harness.cluster.machines["host-1"], "the test has it returned")
+    return_all(harness)
+    harness.elect()
+    assert set(harness.cluster.machines) == {"host-2"} and set(harness.cluster.rentals) == {OWNER}
 
 
 @pytest.mark.parametrize("returning", [(OWNER,), (ADOPTION,), BOTH])
@@ -108,108 +108,110 @@
 def test_a_machine_whose_return_was_asked_is_never_used_whichever_write_was_the_last(returning, answered):
     """The leader changes after each of its writes, one a transaction; the return may have been confirmed before."""
     for writes in itertools.count():
-        bed = Bed()
-        two_records(bed, returning)
-        bed.elect()
+        harness = LeaderHarness()
+        two_records(harness, returning)
+        harness.elect()
         for _ in range(writes):
             if answered:
-                asked, bed.cluster.to_return = bed.cluster.to_return, []
-                bed.cluster.returned([machine.name for machine in asked], bed.clock.now_us())
-            batch = bed.cluster.write_queue.next_batch(1)
+                asked, harness.cluster.to_return = harness.cluster.to_return, []
+                harness.cluster.returned([machine.name for machine in asked], harness.clock.now_us())
+            batch = harness.cluster.write_queue.next_batch(1)
             if batch is None:
                 break
-            bed.cluster.write_queue.batch_committed(bed.state.txn(batch.guards, batch.writes))
+            harness.cluster.write_queue.batch_committed(harness.state.txn(batch.guards, batch.writes))
         else:
             batch = True
-        bed.elect()
-        machine = bed.cluster.machines.get("host-1")
+        harness.elect()
+        machine = harness.cluster.machines.get("host-1")
         assert machine is None or machine.phase == RETURNING, f"usable after {writes} writes"
-        return_all(bed)
-        assert not named(bed, "host-1")
+        return_all(harness)
+        assert not named(harness, "host-1")
         if batch is None:
             return
 
 
 def test_the_story_of_the_soak():
     """Returned with a fall, adopted by a late copy, and another leader before the rental's record is written."""
-    bed = Bed()
-    write(bed, keys.rental_key(OWNER), rental_value(["host-1", "host-2", "host-3"]))
-    bed.elect()
-    bed.report("host-1", 1)
-    fallen = [(bed.cluster.machines[name], "silent") for name in ("host-1", "host-3")]
-    bed.cluster.recovery.return_failed("a", fallen, bed.clock.now_us())
-    names = returns(bed)
+    harness = LeaderHarness()
+    write(harness, keys.rental_key(OWNER), rental_value(["host-1", "host-2", "host-3"]))
+    harness.elect()
+    harness.report("host-1", 1)
+    fallen = [(harness.cluster.machines[name], "silent") for name in ("host-1", "host-3")]
+    harness.cluster.recovery.return_failed("a", fallen, harness.clock.now_us())
+    names = returns(harness)
     assert sorted(names) == ["host-1", "host-3"]
-    bed.cluster.returned(["host-1"], bed.clock.now_us())
-    bed.report("host-1", 2, token=0)  # a late copy: adopted, and its return is asked at once
-    adoption = bed.cluster.rentals[ADOPTION]
-    write(bed, keys.rental_key(ADOPTION), adoption.value())
-    bed.elect()
-    assert sorted(named(bed, "host-1")) == [keys.rental_key(OWNER), keys.rental_key(ADOPTION)]
-    return_all(bed)
-    assert set(bed.cluster.machines) == {"host-2"}
-    assert not named(bed, "host-1") and not named(bed, "host-3")
+    harness.cluster.returned(["host-1"], harness.clock.now_us())
+    harness.report("host-1", 2, token=0)  # a late copy: adopted, and its return is asked at once
+    adoption = harness.cluster.rentals[ADOPTION]
+    write(harness, keys.rental_key(ADOPTION), adoption.value())
+    harness.elect()
+    assert sorted(named(harness, "host-1")) == [keys.rental_key(OWNER), keys.rental_key(ADOPTION)]
+    return_all(harness)
+    assert set(harness.cluster.machines) == {"host-2"}
+    assert not named(harness, "host-1") and not named(harness, "host-3")
 
 
 @pytest.mark.parametrize("saved", [False, True])
 def test_a_machine_that_was_adopted_with_its_return_asked_is_returning_in_its_rental_too(saved):
     """The rental's answer comes late. Without the owner's record the adoption's is not removed."""
-    bed = Bed()
-    write(bed, keys.rental_key(OWNER), rental_value([], answered=False, count=2))
-    bed.elect()
-    rental = bed.cluster.rentals[OWNER]
-    bed.report("host-1", 1)
-    bed.cluster.request_return(bed.cluster.machines["host-1"], "the test has it returned")
+    harness = LeaderHarness()
+    write(harness, keys.rental_key(OWNER), rental_value([], answered=False, count=2))
+    harness.elect()
+    rental = harness.cluster.rentals[OWNER]
+    harness.report("host-1", 1)
+    harness.cluster.request_return(harness.cluster.machines["host-1"], "the test has it returned")
     if saved:
-        bed.commit()
-    bed.cluster.renting.rented(rental, ["host-1", "host-2"], bed.clock.now_us())
-    while (batch := bed.cluster.write_queue.next_batch(1)) is not None:
-        bed.cluster.write_queue.batch_committed(bed.state.txn(batch.guards, batch.writes))
-        values = [bed.state.value_of(key) for key in named(bed, "host-1")]
+        harness.commit()
+    harness.cluster.renting.rented(rental, ["host-1", "host-2"], harness.clock.now_us())
+    while (batch := harness.cluster.write_queue.next_batch(1)) is not None:
+        harness.cluster.write_queue.batch_committed(harness.state.txn(batch.guards, batch.writes))
+        values = [harness.state.value_of(key) for key in named(harness, "host-1")]
         assert saved <= any("host-1" in value["returning"] for value in values)
-    assert named(bed, "host-1") == [keys.rental_key(OWNER)]
-    return_all(bed)
-    assert not named(bed, "host-1") and set(bed.cluster.machines) == {"host-2"}
+    assert named(harness, "host-1") == [keys.rental_key(OWNER)]
+    return_all(harness)
+    assert not named(harness, "host-1") and set(harness.cluster.machines) == {"host-2"}
 
 
 def test_names_in_an_answer_of_the_cloud_that_are_unknown_repeated_or_gone_lose_nothing_else(caplog):
-    bed = Bed()
+    harness = LeaderHarness()
     for name in ("host-1", "host-2", "host-3"):
-        bed.report(name, 1)
+        harness.report(name, 1)
     for name in ("host-1", "host-3"):
-        bed.cluster.request_return(bed.cluster.machines[name], "the test has it returned")
-    returns(bed)
-    bed.cluster.returned(["host-1", "host-1", "host-77", "host-2", "host-3"], bed.clock.now_us())
-    bed.cluster.returned(["host-3"], bed.clock.now_us())
-    assert set(bed.cluster.machines) == {"host-2"}  # nobody asked for its return
+        harness.cluster.request_return(harness.cluster.machines[name], "the test has it returned")
+    returns(harness)
+    harness.cluster.returned(["host-1", "host-1", "host-77", "host-2", "host-3"], harness.clock.now_us())
+    harness.cluster.returned(["host-3"], harness.clock.now_us())
+    assert set(harness.cluster.machines) == {"host-2"}  # nobody asked for its return
     told = [text for text in caplog.messages if "nobody asked" in text]
     assert len(told) == 2 and "host-77" in told[0] and "host-2" in told[1]
-    bed.commit()
-    assert not named(bed, "host-1") and not named(bed, "host-3")
+    harness.commit()
+    assert not named(harness, "host-1") and not named(harness, "host-3")
 
 
 def test_names_in_the_answer_to_a_rental_that_are_repeated_lose_nothing_else(caplog):
-    bed = Bed()
-    write(bed, keys.rental_key(OWNER), rental_value([], answered=False, count=3))
-    bed.elect()
-    bed.cluster.renting.rented(bed.cluster.rentals[OWNER], ["host-1", "host-1", "host-2"], bed.clock.now_us())
-    assert bed.cluster.rentals[OWNER].machines == ["host-1", "host-2"]
+    harness = LeaderHarness()
+    write(harness, keys.rental_key(OWNER), rental_value([], answered=False, count=3))
+    harness.elect()
+    harness.cluster.renting.rented(
+        harness.cluster.rentals[OWNER], ["host-1", "host-1", "host-2"], harness.clock.now_us()
+    )
+    assert harness.cluster.rentals[OWNER].machines == ["host-1", "host-2"]
     assert [text for text in caplog.messages if "host-1 twice" in text]
 
 
 def test_a_list_of_the_cloud_that_names_machines_twice_counts_each_once():
     """Of machines that fell together the names are on record until each is returned. One named twice stayed there."""
-    bed = Bed()
+    harness = LeaderHarness()
     hosts = [f"host-{number}" for number in range(MASS_FAILURE_MACHINES + 1)]
     for host in hosts:
-        bed.report(host, 1)
+        harness.report(host, 1)
     listing = [ListedMachine(host, host, "m4", "a", False, FAILED, 5.0) for host in [*hosts, *hosts]]
-    bed.cluster.listed(listing, bed.clock.now_us())
-    (mass_failure,) = bed.cluster.recovery.mass_failures.values()
+    harness.cluster.listed(listing, harness.clock.now_us())
+    (mass_failure,) = harness.cluster.recovery.mass_failures.values()
     assert mass_failure.machines == len(hosts)
-    return_all(bed)
-    assert not bed.cluster.machines and not mass_failure.parts
-    assert keys.fall_key(mass_failure.name, 1) not in bed.state.items
+    return_all(harness)
+    assert not harness.cluster.machines and not mass_failure.parts
+    assert keys.fall_key(mass_failure.name, 1) not in harness.state.items
 
 
 # ---------------------------------------------------------------- what a standby follows
@@ -227,17 +229,17 @@
 @example([(OWNER, {"host-1": False}), (ADOPTION, {"host-1": True}), (ADOPTION, None)])
 def test_who_names_a_machine_is_the_same_for_a_follower_and_a_rebuild(writes):
     """In every order of the records of rentals and adoptions and of their removal."""
-    bed = Bed()
-    follower = ClusterState(make_config(), Policy(), 0, bed.clock.wall_us, bed.state.record_of)
-    follower.build(bed.state.read_all(), 0)
+    harness = LeaderHarness()
+    follower = ClusterState(make_config(), Policy(), 0, harness.clock.wall_us, harness.state.record_of)
+    follower.build(harness.state.read_all(), 0)
     for name, hosts in writes:
         key = keys.rental_key(name)
-        if hosts is None and key not in bed.state.items:
+        if hosts is None and key not in harness.state.items:
             continue
         asked = [host for host, told in (hosts or {}).items() if told]
         value = None if hosts is None else rental_value(hosts, asked, count=2)  # what it asked for never changes
-        write(bed, key, value)
-        follower.apply(key, value, bed.state.tide, 0)
-        rebuilt = ClusterState(make_config(), Policy(), 0, bed.clock.wall_us, bed.state.record_of)
-        rebuilt.build(bed.state.read_all(), 0)
+        write(harness, key, value)
+        follower.apply(key, value, harness.state.tide, 0)
+        rebuilt = ClusterState(make_config(), Policy(), 0, harness.clock.wall_us, harness.state.record_of)
+        rebuilt.build(harness.state.read_all(), 0)
         assert follower.comparable() == rebuilt.comparable()
--- a/tools/compare_loopback.py
+++ b/tools/compare_loopback.py
@@ -15,7 +15,7 @@
 from gevent.pywsgi import WSGIServer
 
 import test_embed
-from standins import TYPE, Bed, make_config
+from standins import TYPE, LeaderHarness, make_config
 from tideusher.actors.base import Actor
 from tideusher.actors.leader import Leader
 from tideusher.actors.store import Store
@@ -53,7 +53,7 @@
     """The daemon's parts, spoken to as users and workers do; the rounds are those of the test's daemon."""
 
     def __init__(self) -> None:
-        self.bed = Bed()
+        self.harness = LeaderHarness()
         self.state = StateStandIn(1 << 20)
         self.state.txn([], [])
         token = self.state.elect("n0")
@@ -63,7 +63,7 @@
             state=StateSettings(1e9, 1e9, 64.0, 500), cloud=CloudSettings(1e9, 1.0), teams=test_embed.TEAMS
         )
         config.endpoints = Endpoints("127.0.0.1:1", f"127.0.0.1:{port}")
-        clock = self.bed.clock
+        clock = self.harness.clock
         self.store = Store(config, clock, Metrics())
         self.store._load()
         self.users = Users(config, clock, self.store, conditions=True)
@@ -127,8 +127,8 @@
                 self.tasks[key] = (self.tasks[key][0], "exited", "stopped")
 
     def round(self, specs: Any, ended: Any, cancelled: Any) -> None:
-        if self.bed.clock.us - self.gathered_us >= 5 * SECOND_US:
-            self.gathered_us = self.bed.clock.us
+        if self.harness.clock.us - self.gathered_us >= 5 * SECOND_US:
+            self.gathered_us = self.harness.clock.us
             self.leader.ask("gather").get()
         for key, state in list(self.tasks.items()):
             if key[1] in ended:
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -13,7 +13,7 @@
 import click
 import msgspec
 
-from standins import TYPE, Bed, job, make_config
+from standins import TYPE, LeaderHarness, job, make_config
 from tideusher.config import CloudSettings, StateSettings, Team
 from tideusher.core.lead.reports import Reports
 from tideusher.core.model import keys
@@ -32,7 +32,7 @@
 class Fleet:
     """A leader with machines that are up and jobs that fill them."""
 
-    bed: Bed
+    harness: LeaderHarness
     names: list[str]
     jobs: list[str]
 
@@ -45,38 +45,38 @@
         state=StateSettings(500.0, 90.0, VALUE_KB, TXN_OPS),
         cloud=CloudSettings(5.0, 2.0),
     )
-    bed = Bed(config, shared)
-    bed.state.value_bytes = int(VALUE_KB * 1024)
+    harness = LeaderHarness(config, shared)
+    harness.state.value_bytes = int(VALUE_KB * 1024)
     names = [f"host-{number:06d}" for number in range(machines)]
     for first in range(0, machines, 50):
         rental = Rental(f"r{first}", TYPE.name, ZONES[0], False, 50, True, names[first : first + 50])
-        bed.cluster.rentals[rental.name] = rental
+        harness.cluster.rentals[rental.name] = rental
         for number, name in enumerate(rental.machines):
             zone = ZONES[(first + number) % 2]
             one = Machine(name, TYPE.name, zone, False, rental.name, TYPE.cpus, TYPE.gpus, TYPE.ram_gb, 0)
             one.phase, one.last_contact_us, one.last_report_us, one.session, one.serial = (
                 UP,
-                *[bed.clock.now_us()] * 2,
+                *[harness.clock.now_us()] * 2,
                 1,
                 1,
             )
-            bed.cluster.machines[name] = one
-    bed.commit()
-    return Fleet(bed, names, [])
+            harness.cluster.machines[name] = one
+    harness.commit()
+    return Fleet(harness, names, [])
 
 
 def submit(fleet: Fleet, count: int, teams: int) -> None:
     """So many jobs of four tasks, one card each: as many tasks as all machines take."""
     for number in range(count):
         spec = job(tasks=TASKS_OF_A_JOB, team=f"t{number % teams}", cpus=1.0, ram_gb=1.0)
-        fleet.bed.state.submit(spec, fleet.bed.clock.wall_us())
+        fleet.harness.state.submit(spec, fleet.harness.clock.wall_us())
         fleet.jobs.append(spec.id)
-    fleet.bed.see_jobs()
+    fleet.harness.see_jobs()
 
 
-def write_all(bed: Bed) -> tuple[float, int, int]:
+def write_all(harness: LeaderHarness) -> tuple[float, int, int]:
     """Seconds spent in the queue itself, transactions, and writes."""
-    queue, spent_s, transactions, writes = bed.cluster.write_queue, 0.0, 0, 0
+    queue, spent_s, transactions, writes = harness.cluster.write_queue, 0.0, 0, 0
     while True:
         began = time.perf_counter()
         batch = queue.next_batch(TXN_OPS)
@@ -84,7 +84,7 @@
         if batch is None:
             return spent_s, transactions, writes
         transactions, writes = transactions + 1, writes + len(batch.writes)
-        revision = bed.state.txn(batch.guards, batch.writes)
+        revision = harness.state.txn(batch.guards, batch.writes)
         assert revision is not None
         began = time.perf_counter()
         queue.batch_committed(revision)
@@ -93,9 +93,9 @@
 
 def place_all(fleet: Fleet) -> tuple[float, float, int]:
     """Passes until nothing waits: seconds in all, the longest piece, and how many starts."""
-    bed, total_s, longest_s = fleet.bed, 0.0, 0.0
-    while any(one.waits for one in bed.cluster.jobs.values()):
-        the_pass, before = bed.scheduler.pass_steps(bed.clock.now_us()), starts(bed)
+    harness, total_s, longest_s = fleet.harness, 0.0, 0.0
+    while any(one.waits for one in harness.cluster.jobs.values()):
+        the_pass, before = harness.scheduler.pass_steps(harness.clock.now_us()), starts(harness)
         while True:
             began = time.perf_counter()
             ended = next(the_pass, "end")
@@ -103,29 +103,29 @@
             total_s, longest_s = total_s + took_s, max(longest_s, took_s)
             if ended == "end":
                 break
-        if starts(bed) == before:
+        if starts(harness) == before:
             break
-    return total_s, longest_s, starts(bed)
+    return total_s, longest_s, starts(harness)
 
 
-def starts(bed: Bed) -> int:
+def starts(harness: LeaderHarness) -> int:
     """Tasks that hold a place."""
-    return sum(len(one.live) for one in bed.cluster.jobs.values())
+    return sum(len(one.live) for one in harness.cluster.jobs.values())
 
 
 def report_all(fleet: Fleet, serial: int, state: str, cause: str | None = None) -> tuple[float, int]:
     """A report of each machine with all its tasks in this state; seconds, and how many."""
-    bed, reports = fleet.bed, Reports(fleet.bed.cluster)
+    harness, reports = fleet.harness, Reports(fleet.harness.cluster)
     told = []
-    for machine in list(bed.cluster.machines.values()):
+    for machine in list(harness.cluster.machines.values()):
         items = [TaskReport(task.name, task.attempt, state, cause) for task in machine.tasks.values()]
-        token = bed.cluster.token
+        token = harness.cluster.token
         told.append(
             Report(machine.name, "127.0.0.1:9", TYPE.name, machine.zone, False, 1, serial, token, None, items)
         )
     began = time.perf_counter()
     for one in told:
-        reports.answer(one, bed.clock.now_us())
+        reports.answer(one, harness.clock.now_us())
     return time.perf_counter() - began, len(told)
 
 
@@ -138,12 +138,12 @@
 
 def takeover(fleet: Fleet) -> float:
     """Seconds to build a picture of all records from nothing."""
-    bed = fleet.bed
+    harness = fleet.harness
     cluster_state = ClusterState(
-        bed.config, bed.cluster.policy, bed.clock.now_us(), bed.clock.wall_us, bed.state.record_of
+        harness.config, harness.cluster.policy, harness.clock.now_us(), harness.clock.wall_us, harness.state.record_of
     )
     began = time.perf_counter()
-    cluster_state.build(bed.state.items, bed.clock.now_us())
+    cluster_state.build(harness.state.items, harness.clock.now_us())
     return time.perf_counter() - began
 
 
@@ -157,14 +157,14 @@
     fleet = fleet_of(machines, teams, shared)
     submit(fleet, machines, teams)
     pass_s, longest_s, count = place_all(fleet)
-    start_s, start_txns, start_writes = write_all(fleet.bed)
+    start_s, start_txns, start_writes = write_all(fleet.harness)
     report_s, reports = report_all(fleet, 2, "running")
-    state_mb = sum(len(msgspec.json.encode(value)) for value, _ in fleet.bed.state.items.values()) / 1e6
+    state_mb = sum(len(msgspec.json.encode(value)) for value, _ in fleet.harness.state.items.values()) / 1e6
     held_mb, build_s = resident_mb() - before_mb, takeover(fleet)
     end_report_s, _ = report_all(fleet, 3, "exited", "done")
-    end_s, end_txns, end_writes = write_all(fleet.bed)
-    done = sum(fleet.bed.state.record_of(one)["st"] == "done" for one in fleet.jobs)
-    left = sum(key.startswith((keys.CHUNK_PREFIX, keys.PAGE_PREFIX)) for key in fleet.bed.state.items)
+    end_s, end_txns, end_writes = write_all(fleet.harness)
+    done = sum(fleet.harness.state.record_of(one)["st"] == "done" for one in fleet.jobs)
+    left = sum(key.startswith((keys.CHUNK_PREFIX, keys.PAGE_PREFIX)) for key in fleet.harness.state.items)
 
     def each_us(seconds: float, of: int) -> str:
         return f"{seconds / max(1, of) * 1e6:.1f} us"
--- a/tools/measure_conditions.py
+++ b/tools/measure_conditions.py
@@ -13,7 +13,7 @@
 import click
 import msgspec
 
-from standins import TYPE, Bed, job
+from standins import TYPE, LeaderHarness, job
 from tideusher.config import load_settings
 from tideusher.core.model import keys
 from tideusher.core.model.job_record import open_value
@@ -44,10 +44,10 @@
         print(f"scripts {what}: {count / (time.perf_counter() - began):,.0f} a second ({len(texts)} samples)")
 
 
-def pass_steps(bed: Bed) -> tuple[float, float]:
+def pass_steps(harness: LeaderHarness) -> tuple[float, float]:
     """A whole pass: its time and its longest piece, in ms."""
     longest = total = 0.0
-    the_pass = bed.scheduler.pass_steps(bed.clock.now_us())
+    the_pass = harness.scheduler.pass_steps(harness.clock.now_us())
     while True:
         began = time.perf_counter()
         ended = next(the_pass, "end")
@@ -57,43 +57,46 @@
             return total * 1000, longest * 1000
 
 
-def fleet(bed: Bed) -> None:
+def fleet(harness: LeaderHarness) -> None:
     """Machines that are up and heard, so that what is released finds room."""
     names = [f"host-{number:06d}" for number in range(MACHINES)]
-    bed.cluster.rentals["r"] = Rental("r", TYPE.name, "a", False, MACHINES, True, names)
+    harness.cluster.rentals["r"] = Rental("r", TYPE.name, "a", False, MACHINES, True, names)
     for number, name in enumerate(names):
         one = Machine(name, TYPE.name, "ab"[number % 2], False, "r", TYPE.cpus, TYPE.gpus, TYPE.ram_gb, 0)
-        one.phase, one.last_contact_us, one.session, one.serial = UP, bed.clock.now_us(), 1, 1
-        bed.cluster.machines[name] = one
+        one.phase, one.last_contact_us, one.session, one.serial = UP, harness.clock.now_us(), 1, 1
+        harness.cluster.machines[name] = one
 
 
 def release(jobs: int) -> None:
     """One job ends, and so many that waited for it may start; beside as many that came without a condition."""
     small = {"gpus": 0.1, "cpus": 0.1, "ram_gb": 0.1}
     for what in ("without dependencies", "released by one end"):
-        bed = Bed()
+        harness = LeaderHarness()
         first = job()
-        bed.submit(first)
+        harness.submit(first)
         held = what == "released by one end"
         for _ in range(jobs):
             after = [After("afterany", first.id)] if held else None
             spec = job(after=after, **small)
-            bed.state.items[keys.job_key(spec.id)] = (open_value(spec, bed.clock.wall_us()), bed.state.tide)
-        bed.see_jobs()
-        bed.commit()
-        idle = pass_steps(bed)
-        fleet(bed)
-        bed.state.cancel(first.id)
-        bed.see_jobs()
-        written = bed.state.tide
+            harness.state.items[keys.job_key(spec.id)] = (
+                open_value(spec, harness.clock.wall_us()),
+                harness.state.tide,
+            )
+        harness.see_jobs()
+        harness.commit()
+        idle = pass_steps(harness)
+        fleet(harness)
+        harness.state.cancel(first.id)
+        harness.see_jobs()
+        written = harness.state.tide
         steps_ms, more = [], True
         while more:
             began = time.perf_counter()
-            more = bed.cluster.conditions.step(bed.clock.now_us())
+            more = harness.cluster.conditions.step(harness.clock.now_us())
             steps_ms.append((time.perf_counter() - began) * 1000)
-        release_writes = bed.state.tide - written
-        ready = len(bed.cluster.active)
-        total, longest = pass_steps(bed)
+        release_writes = harness.state.tide - written
+        ready = len(harness.cluster.active)
+        total, longest = pass_steps(harness)
         print(
             f"{jobs:,} jobs {what}: {ready:,} ready after {sum(steps_ms):.0f} ms "
             f"(longest piece {max(steps_ms):.1f} ms) and {release_writes} writes; "
@@ -110,19 +113,19 @@
 
 def memory(jobs: int, chained: bool) -> None:
     """So many open jobs in one leader: the mirrored records, and the picture made of them."""
-    before, bed, last = resident_mb(), Bed(), None
+    before, harness, last = resident_mb(), LeaderHarness(), None
     for _ in range(jobs):
         spec = job(after=[After("afterok", last)] if last and chained else None)
-        value = msgspec.json.decode(msgspec.json.encode(open_value(spec, bed.clock.wall_us())))
-        bed.state.items[keys.job_key(spec.id)] = (value, 1)
+        value = msgspec.json.decode(msgspec.json.encode(open_value(spec, harness.clock.wall_us())))
+        harness.state.items[keys.job_key(spec.id)] = (value, 1)
         last = spec.id
     records = resident_mb()
     began = time.perf_counter()
-    bed.see_jobs()
+    harness.see_jobs()
     load_s = time.perf_counter() - began
     cluster_state = resident_mb()
-    pass_steps(bed)
-    total, longest = pass_steps(bed)
+    pass_steps(harness)
+    total, longest = pass_steps(harness)
     print(
         f"{jobs:,} open jobs {'each after the one before' if chained else 'without conditions'}: "
         f"records {records - before:.0f} MB, picture {cluster_state - records:.0f} MB, read in {load_s:.1f} s; "
