--- a/src/tideusher/actors/leader.py
+++ b/src/tideusher/actors/leader.py
@@ -384,7 +384,8 @@
         self._metrics.count("leaderships")
         self.log.info(
             "took over with token %d, engine %d: %d jobs, %d machines, %d records late; %s",
-            token, self._terms, len(cluster.jobs), len(cluster.machines), caught.late, self._store.describe_last_read(),
+            token, self._terms, len(cluster.jobs), len(cluster.machines), caught.late,
+            self._store.describe_last_read(),
         )  # fmt: skip
         self.on_survey()
         self.on_tick()
--- a/src/tideusher/core/lead/explain.py
+++ b/src/tideusher/core/lead/explain.py
@@ -87,7 +87,8 @@
     mass_failure = cluster.recovery.mass_failure_of(job)
     if mass_failure is not None:
         reasons.append(
-            f"Fall {mass_failure.name}, in which {mass_failure.machines} machines of {mass_failure.zone} went silent, took "
+            f"Fall {mass_failure.name}, in which {mass_failure.machines} machines of {mass_failure.zone} "
+            "went silent, took "
             f"{mass_failure.jobs.get(job.spec.id, 0)} of its tasks; it is not whole again."
         )
     if job.pending > 0 and not job.blocked:
--- a/src/tideusher/core/model/pages.py
+++ b/src/tideusher/core/model/pages.py
@@ -90,7 +90,7 @@
     def load(
         self, stored: Iterable[tuple[str, Mapping[str, Any], int]], pages_by_job: Mapping[str, str], fenced: bool
     ) -> None:
-        """Take over what is stored; `pages_by_job` names the page of each job, what else is there is wanted no more."""
+        """Take over what is stored; `pages_by_job` names the page of each job. Other members are obsolete."""
         self.fenced = fenced
         for key, members, stamp in stored:
             page = self._pages[keys.page_number(key)] = Page(keys.page_number(key))
--- a/tests/test_failing_messages.py
+++ b/tests/test_failing_messages.py
@@ -21,7 +21,8 @@
 #: Messages to a leader that change what it decides on, with arguments in the place of their own after the token.
 CHANGING = (
     "reports", "answered", "returned", "return_again", "rented", "rent_again", "listed", "types", "survey", "gather",
-    "job", "cancelled_elsewhere", "found", "unanswered", "unwritable", "batch_committed", "batch_failed", "continue_pass", "tick", "timer_tick",
+    "job", "cancelled_elsewhere", "found", "unanswered", "unwritable",
+    "batch_committed", "batch_failed", "continue_pass", "tick", "timer_tick",
 )  # fmt: skip
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -77,7 +77,7 @@
     run = CliRunner().invoke(main, ["soak", "--seeds", "x", "--out", str(tmp_path / "out")])
     assert run.exit_code == 2 and "--seeds x" in run.output
     (tmp_path / "there").mkdir()
-    (tmp_path / "there" / "file").enqueue()
+    (tmp_path / "there" / "file").touch()
     run = CliRunner().invoke(main, ["soak", "--seeds", "1", "--out", str(tmp_path / "there")])
     assert run.exit_code == 2 and "is not empty" in run.output
 
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("forgotten", ["_vanish", "_ends", "_unname", "_note"])
 def test_a_forgotten_transition_is_found(forgotten, monkeypatch):
-    """Planted: the follower leaves out one kind of transition; the comparison, and for places `matches`, must tell."""
+    """Planted fault: the follower leaves out one kind of transition; the comparison, or `matches`, detects it."""
     harness, follower = None, None
     for harness in play(5):
         follower = follower or Follower(harness.state, harness.clock, harness.config)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -454,7 +454,7 @@
 
 
 def test_a_decision_before_the_check_would_stop_work(controllers, monkeypatch):
-    monkeypatch.setattr(TakeoverReadiness, "whole", lambda self: True)  # planted
+    monkeypatch.setattr(TakeoverReadiness, "all_zones_ready", lambda self: True)  # planted
     assert full_fleet(controllers) > 0
 
 
