--- a/src/tideusher/core/lead/scheduler.py
+++ b/src/tideusher/core/lead/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduling pass: place what fits, stop what must yield, rent what is missing, return what idles."""
+"""The scheduling pass: places tasks, preempts others for them, rents missing machines and returns idle ones."""
 
 from collections.abc import Callable, Collection, Hashable, Iterator
 from dataclasses import dataclass
@@ -16,49 +16,52 @@
 from tideusher.core.lead.cluster import Cluster
 from tideusher.core.model.records import BOOTING, NO_CAPACITY, OPEN, UP, Job, Machine, Task
 
-RESERVE_S = 12.0
-MOVE_ONE_OF = 40
-#: After so many looks at machines a pass lets others have their turn.
+#: How long a machine stays reserved for the job that preempted tasks there or is to move a replica there.
+RESERVATION_S = 12.0
+#: Consolidation empties at most one in this many machines at a time.
+CONSOLIDATION_DIVISOR = 40
+#: Machines examined before a pass yields to other greenlets.
 PIECE_LOOKS = 1000
-#: A job that failed on so many machines is at fault itself, and avoids none.
-AVOIDED = 4
-#: After a pass the next one rests so long for each piece beyond the first few, and for each job that waited: in a
-#: flood passes in a row would take all of a core, and find again and again what they found before.
-REST_FREE, REST_PIECE_US, PAUSE_PER_JOB_US = 50, 3_000, 400
-SET_ASIDE = "its next try: a pass failed on it"
-MOVED = "hardly used; its tasks moved to others"
+#: A job that failed on this many machines is itself at fault, and avoids none.
+MAX_AVOIDED_MACHINES = 4
+#: The pause after a pass, per step beyond the first `FREE_STEPS` and per waiting job: in a flood of jobs, passes run
+#: back to back would use a complete core and repeat the same results.
+FREE_STEPS, PAUSE_PER_STEP_US, PAUSE_PER_JOB_US = 50, 3_000, 400
+QUARANTINED = "its next try: a scheduling pass failed on it"
+CONSOLIDATED = "sparsely used; its tasks were moved to other machines"
 
 
 @dataclass(frozen=True, slots=True)
-class _Terms:
-    """What decides on which machines a job's next tasks may be placed."""
+class _PlacementTerms:
+    """Restrictions on the machines on which a job's next tasks may be placed."""
 
-    kind: Hashable  # the same for all jobs for which the same machines are free
-    avoid: Collection[str]  # machines on which it has failed
-    enough: bool  # may it use the warm room?
-    short: Demand | None  # ordinary machines with so much room are left to those that wait for them
-    beside: bool  # must it leave the CPUs beside free cards alone?
+    request_kind: Hashable  # equal for all jobs that may use the same machines
+    avoided_machines: Collection[str]  # machines on which the job has failed
+    may_use_warm: bool  # whether it may use the warm reserve
+    ordinary_reserve: Demand | None  # ordinary machines with this much free capacity are left to jobs that need them
+    avoid_free_gpu_hosts: bool  # whether it must leave the CPUs of machines with free GPUs alone
 
     @property
-    def plain(self) -> bool:
-        """Is no machine kept from it that is free to others of its rights?"""
-        return self.enough and self.short is None
+    def unrestricted(self) -> bool:
+        """True if it may use every machine that other jobs with the same placement constraints may use."""
+        return self.may_use_warm and self.ordinary_reserve is None
 
 
 class Scheduler:
-    """Decides on a Cluster; every change goes through the cluster's own transitions."""
+    """Runs scheduling passes over a Cluster; every change goes through the cluster's own transitions."""
 
     def __init__(self, cluster: Cluster, now_us: int) -> None:
         self._c = cluster
         self._spare_gpus = 0.0
-        self._gathering = GangReservations()
+        self._gang_reservations = GangReservations()
         self._placement_cache: PlacementCache | None = None
-        self._place: dict[str, int] = {}  # of each waiting job in the queue
-        self._nothing = RefusalCache()  # what found no room in this pass
-        self._opened = 0  # as of which change that may have opened room
-        self._favoured: set[str] = set()  # jobs for which machines are kept: they look for themselves
-        #: The least that work waits for which runs on ordinary machines only; None: no such work waits.
-        self._ordinary_short: Demand | None = None
+        self._queue_positions: dict[str, int] = {}  # job name to its position in the queue of waiting jobs
+        self._refusals = RefusalCache()  # requests that found no capacity in this pass
+        self._seen_capacity_changes = 0  # the cluster's capacity_changes as of the last check
+        #: Jobs with reserved machines; the refusal cache does not apply to them.
+        self._jobs_with_reservations: set[str] = set()
+        #: The smallest demand among waiting jobs that run on ordinary machines only; None: no such job waits.
+        self._ordinary_demand: Demand | None = None
         self._next_move_us = now_us + to_us(2 * cluster.config.settings.workers.lease_s)
         self._objectives = {
             o.job_class: o.within_s
@@ -67,32 +70,34 @@
         }
 
     def schedule(self, now_us: int) -> None:
-        """One pass without a pause."""
+        """Runs one complete pass without yielding."""
         for _ in self.pass_steps(now_us):
             pass
 
     def pause_us(self, pass_steps: int) -> int:
-        """How long after the beginning of a pass of so many pieces the next one may begin.
+        """Returns the minimum time from the start of a pass of this many steps to the start of the next one.
 
-        A program's own instance (`tideusher.embed`) is driven by the program, and waits for nothing.
+        It is 0 for an embedded instance (`tideusher.embed`), which its program drives.
         """
         if not self._c.rents_machines:
             return 0
-        return REST_PIECE_US * max(0, pass_steps - REST_FREE) + PAUSE_PER_JOB_US * len(self._place)
+        return PAUSE_PER_STEP_US * max(0, pass_steps - FREE_STEPS) + PAUSE_PER_JOB_US * len(self._queue_positions)
 
     def pass_steps(self, now_us: int) -> Iterator[None]:
-        """One pass: place what fits, stop what must yield, rent what is missing, return what idles.
+        """Runs one pass step by step: places tasks, preempts, rents missing machines and returns idle ones.
 
-        It pauses after PIECE_LOOKS looks at machines, and between its parts, so that reports, renewals
-        and users do not wait for all of it. At each pause the picture is whole; what others change
-        meanwhile (a job cancelled, a machine being returned) is looked at again before it is used, and
-        the pass goes on in the order of the queue that it began with. A job that comes meanwhile is in
-        the next pass.
+        It yields after examining PIECE_LOOKS machines and between its parts, so that reports, lease renewals
+        and user requests do not wait for the complete pass. At each yield the cluster state is consistent.
+        What changes meanwhile (a job is cancelled, a machine is being returned) is checked again before it is
+        used, and the pass continues in the queue order that it began with. A job submitted meanwhile is
+        considered in the next pass.
         """
         self._c.dirty = False
-        for zone, heard, of, waited_us in self._c.takeover_readiness.step(now_us):
+        for zone, reported, total, waited_us in self._c.takeover_readiness.step(now_us):
             self._c.metrics.observe_takeover_phase("heard", to_s(waited_us))
-            self._c.log.info("check heard: %d of %d machines of %s, after %.1f s", heard, of, zone, to_s(waited_us))
+            self._c.log.info(
+                "check heard: %d of %d machines of %s reported, after %.1f s", reported, total, zone, to_s(waited_us)
+            )
         self._c.limits.step(now_us)
         self._c.recovery.step()
         while self._c.conditions.step(now_us):
@@ -107,9 +112,9 @@
                 if job is None or job.pending <= 0 or now_us > machine.reserved_until_us:
                     machine.reserved = ""
         waiting = [job for job in self._c.active.values() if job.waits]
-        self._place = {}
+        self._queue_positions = {}
         if not waiting and not self._c.rents_machines:
-            return  # and nothing to rent or to give back for others
+            return  # nothing waits, and embedded machines are neither rented nor returned
         within = self._within_guarantee()
         wall_us = self._c.wall_us()
         queue = order_jobs(
@@ -121,77 +126,85 @@
             self._c.recovery.precedence,
         )
         recovering = self._c.recovery.waiting() > 0
-        fresh_us = to_us(3 * self._c.config.settings.workers.report_s + 1)
+        max_report_age_us = to_us(3 * self._c.config.settings.workers.report_s + 1)
         avoid_placement = self._c.mass_failures.avoid_placement
         usable = [
             m
             for m in self._c.machines.values()
             if _usable(m)
-            and now_us - m.last_report_us < fresh_us
+            and now_us - m.last_report_us < max_report_age_us
             and m.free_cpus > 0
             and not avoid_placement(m, now_us)
         ]
         used_gpus = sum(usage[1] for usage in self._c.usage.values())
-        # While work that a fall took still waits, no room is kept for work that may come.
+        # While tasks lost in a mass failure still wait, no capacity is reserved for expected work.
         self._c.fleet.refresh_warm(now_us, 0.0 if recovering else used_gpus)
-        self._place = {job.spec.id: place for place, job in enumerate(queue)}
+        self._queue_positions = {job.spec.id: place for place, job in enumerate(queue)}
         least = Demand.least_of(job.spec for job in waiting)
-        holding = [m for m in usable if least.fits(m.free_cpus, m.free_gpus, m.free_ram_gb)]
-        room = FreeCapacity(holding, self._c.policy.placement__parts)
-        # Nothing but the pass itself changes what is free on own machines while it is made.
-        plain = not self._c.rents_machines and not self._gathering.held and not any(m.reserved for m in holding)
-        self._placement_cache = PlacementCache(holding, self._c.policy.placement__parts) if plain else None
-        held = self._gathering.held
-        self._nothing.clear()
-        self._favoured = {m.reserved for m in holding if m.reserved} | {job.spec.id for job in held.values()}
+        candidates = [m for m in usable if least.fits(m.free_cpus, m.free_gpus, m.free_ram_gb)]
+        free_capacity = FreeCapacity(candidates, self._c.policy.placement__parts)
+        # On embedded machines only the pass itself changes the free capacity while it runs.
+        cacheable = (
+            not self._c.rents_machines
+            and not self._gang_reservations.held
+            and not any(m.reserved for m in candidates)
+        )
+        self._placement_cache = PlacementCache(candidates, self._c.policy.placement__parts) if cacheable else None
+        held = self._gang_reservations.held
+        self._refusals.clear()
+        self._jobs_with_reservations = {m.reserved for m in candidates if m.reserved} | {
+            job.spec.id for job in held.values()
+        }
         free_gpus = sum(m.free_gpus for m in usable if not m.spot and m.name not in held)
         self._spare_gpus = free_gpus - self._c.fleet.reserve_gpus()
         yield
         unplaced: list[tuple[Job, int]] = []
-        looks = 0
+        examined = 0
         for job in queue:
             if not job.waits:
                 continue
-            left, looked = self._place_or_fail(job, room, now_us)
+            left, has_examined = self._place_or_fail(job, free_capacity, now_us)
             if left:
                 unplaced.append((job, left))
-            looks += len(holding) if looked else 1
-            if looks >= PIECE_LOOKS:
-                looks = 0
+            examined += len(candidates) if has_examined else 1
+            if examined >= PIECE_LOOKS:
+                examined = 0
                 yield
-        unplaced = _still_wait(unplaced)
+        unplaced = _still_pending(unplaced)
         short = [job.spec for job, _ in unplaced if not job.spec.spot]
-        self._ordinary_short = Demand.least_of(short) if short else None
-        # What is stopped while nothing can be started is stopped for nobody; what is stopped before the fleet
-        # is heard again makes room that is there already.
+        self._ordinary_demand = Demand.least_of(short) if short else None
+        # While the state service takes no writes nothing could start in place of stopped tasks. Before the machines
+        # have reported to this leader, the capacity to be freed may be free already.
         if self._c.writable and self._c.takeover_readiness.all_zones_ready():
             self._preempt(unplaced, now_us)
         yield
-        unplaced = _still_wait(unplaced)
-        holding = [m for m in holding if _usable(m)]
+        unplaced = _still_pending(unplaced)
+        candidates = [m for m in candidates if _usable(m)]
         patience_us = to_us(self._c.policy.gather__patience_s)
-        requests = self._gathering.update(
+        requests = self._gang_reservations.update(
             unplaced,
-            holding,
+            candidates,
             self._c.machines.values(),
-            self._offer(now_us),
+            self._zone_rating(now_us),
             lambda job: max(0, wall_us - job.submitted_us - patience_us),
             now_us,
-            # One that is silent or mute would be held, and the gang would wait for it.
-            lambda m: m.phase == BOOTING or (now_us - m.last_report_us < fresh_us and not avoid_placement(m, now_us)),
+            # A machine that is silent or does not report would be reserved, and the gang would wait for it.
+            lambda m: m.phase == BOOTING
+            or (now_us - m.last_report_us < max_report_age_us and not avoid_placement(m, now_us)),
         )
         yield
         requests = [request for request in requests if request.job.waits]
         if self._c.rents_machines:
             self._plan_fleet(requests, now_us)
             yield
-            self._thin_out(now_us)
+            self._shrink_fleet(now_us)
 
-    def _offer(self, now_us: int) -> Callable[[Job, str], int]:
+    def _zone_rating(self, now_us: int) -> Callable[[Job, str], int]:
+        """Returns a function that rates a zone's rentable machines for a job."""
         return lambda job, zone: self._c.fleet.offer(job.spec, zone, now_us)
 
     def _within_guarantee(self) -> set[str]:
-        """Jobs that fit their team's guarantee along with the team's earlier unfinished jobs."""
+        """Returns the jobs that fit their team's guarantee together with the team's earlier unfinished jobs."""
         sums: dict[str, list[float]] = {}
         within = set()
         for job in sorted(self._c.active.values(), key=lambda j: (j.submitted_us, j.spec.id)):
@@ -209,50 +222,55 @@
         return within
 
     def _quota_room(self, job: Job) -> int:
-        """How many more tasks the limits of its team and its own allow; tasks not proven gone count."""
+        """Returns how many more tasks the team's limits and the job's own allow; tasks not proven gone count."""
         team = self._c.teams.get(job.spec.team)
         if team is None:
             return 0
         usage = self._c.usage[team.name]
-        room = [job.pending]
+        allowed = [job.pending]
         if job.spec.at_once is not None:
-            room.append(job.spec.at_once - len(job.live))
+            allowed.append(job.spec.at_once - len(job.live))
         if team.cpus_max and job.spec.cpus:
-            room.append(int((team.cpus_max - usage[0] + 1e-6) / job.spec.cpus))
+            allowed.append(int((team.cpus_max - usage[0] + 1e-6) / job.spec.cpus))
         if team.gpus_max and job.spec.gpus:
-            room.append(int((team.gpus_max - usage[1] + 1e-6) / job.spec.gpus))
-        return max(0, min(room))
+            allowed.append(int((team.gpus_max - usage[1] + 1e-6) / job.spec.gpus))
+        return max(0, min(allowed))
 
-    def _place_or_fail(self, job: Job, room: FreeCapacity, now_us: int) -> tuple[int, bool]:
-        """`_place_job` for all but jobs that are set aside; raises PassFailed, which names the job, for any error."""
+    def _place_or_fail(self, job: Job, free_capacity: FreeCapacity, now_us: int) -> tuple[int, bool]:
+        """Calls `_place_job` unless the job is quarantined; turns any error into a PassFailed that names the job."""
         if self._c.failures.is_quarantined(job.spec.id, now_us):
-            job.waiting_reason = SET_ASIDE
+            job.waiting_reason = QUARANTINED
             return 0, False
         try:
-            return self._place_job(job, room, now_us)
+            return self._place_job(job, free_capacity, now_us)
         except Exception as error:
             raise PassFailed(job.spec.id) from error
 
-    def _place_job(self, job: Job, room: FreeCapacity, now_us: int) -> tuple[int, bool]:
-        """Place what can be placed of a job; returns how many more tasks wait for a machine, and if it looked."""
+    def _place_job(self, job: Job, free_capacity: FreeCapacity, now_us: int) -> tuple[int, bool]:
+        """Places the job's tasks as far as possible.
+
+        Returns how many more tasks wait for a machine, and whether machines were examined.
+        """
         count = self._startable(job, now_us)
         if not count:
             return 0, False
-        tries = at_fault(job)  # nothing is rented or stopped for it
+        job_at_fault = at_fault(job)  # if so, nothing is rented or stopped for it
         terms = self._terms(job, count, now_us)
-        if self._opened != self._c.capacity_changes:
-            self._opened = self._c.capacity_changes
-            self._nothing.clear()
-        whole = count if job.is_gang else 1
-        if job.spec.id not in self._favoured and self._nothing.refuses(terms.kind, job.spec, whole):
-            job.waiting_reason = told_failing(job) if tries else NO_CAPACITY
-            return (0 if tries else count), False
-        placed = self._place_tasks(job, count, terms, room, now_us)
-        if not placed and not (job.live or terms.avoid):
-            self._nothing.refused(terms.kind, job.spec, whole)
+        if self._seen_capacity_changes != self._c.capacity_changes:
+            self._seen_capacity_changes = self._c.capacity_changes
+            self._refusals.clear()
+        min_places = count if job.is_gang else 1
+        if job.spec.id not in self._jobs_with_reservations and self._refusals.refuses(
+            terms.request_kind, job.spec, min_places
+        ):
+            job.waiting_reason = describe_failing_job(job) if job_at_fault else NO_CAPACITY
+            return (0 if job_at_fault else count), False
+        placed = self._place_tasks(job, count, terms, free_capacity, now_us)
+        if not placed and not (job.live or terms.avoided_machines):
+            self._refusals.refused(terms.request_kind, job.spec, min_places)
         left = count - placed
-        if tries:
-            job.waiting_reason = told_failing(job)
+        if job_at_fault:
+            job.waiting_reason = describe_failing_job(job)
             return 0, True
         if left:
             job.waiting_reason = NO_CAPACITY
@@ -261,10 +279,10 @@
         return left, True
 
     def _startable(self, job: Job, now_us: int) -> int:
-        """How many tasks of it may start now, if there is room; if none, `waiting_reason` says why."""
-        tries = at_fault(job)
+        """Returns how many of the job's tasks may start now, given capacity; if none, sets `waiting_reason`."""
+        job_at_fault = at_fault(job)
         if now_us < job.not_before_us:
-            job.waiting_reason = told_failing(job) if tries else "a pause after failed starts"
+            job.waiting_reason = describe_failing_job(job) if job_at_fault else "a pause after failed starts"
             return 0
         if job.is_gang and job.live and not job.is_forming:
             job.waiting_reason = "the end of its last attempt"
@@ -273,38 +291,54 @@
         if not count or (job.is_gang and count < job.pending):
             job.waiting_reason = _limit_of(job)
             return 0
-        if tries and not job.is_gang:  # one task at a time shows if it still fails
+        if job_at_fault and not job.is_gang:  # one task at a time shows whether it still fails
             if job.live:
-                job.waiting_reason = told_failing(job)
+                job.waiting_reason = describe_failing_job(job)
                 return 0
             return 1
         return count
 
-    def _terms(self, job: Job, count: int, now_us: int) -> _Terms:
-        """On which machines the job's next tasks may be placed."""
+    def _terms(self, job: Job, count: int, now_us: int) -> _PlacementTerms:
+        """Returns the restrictions on the machines for the job's next tasks."""
         spec = job.spec
         failed = job.error_machines or ()
-        # Of own machines there may be few: where each has failed once, none is avoided.
-        most = AVOIDED if self._c.rents_machines else min(AVOIDED, len(self._c.machines))
-        avoid = failed if len(failed) < most else ()
-        # Classes without a claim to the warm room may not eat it up.
-        enough = self._c.fleet.is_warm(spec.job_class) or spec.gpus * count <= self._spare_gpus
-        # What may run on spot would soon be stopped again on room that others wait for: on one grown
-        # deployment every fourth array task was, with all that it had done.
-        short = self._ordinary_short if spec.spot and self._c.fleet.spot_available(spec, now_us) else None
-        # Tasks without a card would take the CPUs beside free cards, and leave the warm room in name only: a guest's
-        # thousands of small ones did. Beside cards in use they find room enough.
-        beside = not spec.gpus and bool(self._c.fleet.warm) and not self._c.fleet.is_warm(spec.job_class)
-        return _Terms(
-            (placement_constraints(spec), spec.image, beside, enough, short is None), avoid, enough, short, beside
+        # Embedded instances may have few machines: once the job failed on each of them, none is avoided.
+        max_avoided = (
+            MAX_AVOIDED_MACHINES if self._c.rents_machines else min(MAX_AVOIDED_MACHINES, len(self._c.machines))
+        )
+        avoid = failed if len(failed) < max_avoided else ()
+        # Job classes without a warm reserve may not use up the reserve of others.
+        may_use_warm = self._c.fleet.is_warm(spec.job_class) or spec.gpus * count <= self._spare_gpus
+        # A job that may run on spot machines would soon be preempted on ordinary machines that others wait for: on
+        # one large deployment that stopped every fourth array task, with all its progress lost.
+        short = self._ordinary_demand if spec.spot and self._c.fleet.spot_available(spec, now_us) else None
+        # Tasks without GPUs would take the CPUs of machines with free GPUs and make the warm reserve unusable, as a
+        # guest team's thousands of small tasks did. Machines whose GPUs are in use have enough CPUs for them.
+        avoid_free_gpu_hosts = (
+            not spec.gpus and bool(self._c.fleet.warm) and not self._c.fleet.is_warm(spec.job_class)
         )
+        return _PlacementTerms(
+            (placement_constraints(spec), spec.image, avoid_free_gpu_hosts, may_use_warm, short is None),
+            avoid,
+            may_use_warm,
+            short,
+            avoid_free_gpu_hosts,
+        )
+
+    def _machine_filter(self, job: Job, terms: _PlacementTerms) -> Callable[[Machine], bool]:
+        """Returns a test for machines on which the job's tasks may be placed if they fit.
 
-    def _free_to(self, job: Job, terms: _Terms) -> Callable[[Machine], bool]:
-        """May the job's tasks be placed on a machine, if they fit there? Asked of most machines for each job."""
-        name, avoid, short, beside = job.spec.id, terms.avoid, terms.short, terms.beside
+        The test runs on most machines for each job, so it must be cheap.
+        """
+        name, avoid, short, avoid_free_gpu_hosts = (
+            job.spec.id,
+            terms.avoided_machines,
+            terms.ordinary_reserve,
+            terms.avoid_free_gpu_hosts,
+        )
 
-        def free_to_it(machine: Machine) -> bool:
-            if beside and not machine.spot and machine.free_gpus > 0:
+        def is_allowed(machine: Machine) -> bool:
+            if avoid_free_gpu_hosts and not machine.spot and machine.free_gpus > 0:
                 return False
             if short is not None and not machine.spot:
                 if short.fits(machine.free_cpus, machine.free_gpus, machine.free_ram_gb):
@@ -313,32 +347,38 @@
                 _usable(machine)
                 and machine.name not in avoid
                 and machine.reserved in ("", name)
-                and self._gathering.may_use(job, machine, self._place)
+                and self._gang_reservations.may_use(job, machine, self._queue_positions)
             )
 
-        return free_to_it
+        return is_allowed
 
-    def _place_tasks(self, job: Job, count: int, terms: _Terms, room: FreeCapacity, now_us: int) -> int:
-        """Give up to so many tasks their places; returns how many have one now."""
+    def _place_tasks(
+        self, job: Job, count: int, terms: _PlacementTerms, free_capacity: FreeCapacity, now_us: int
+    ) -> int:
+        """Assigns machines to up to `count` tasks; returns how many were assigned."""
         spec, limit, before = job.spec, job.zone_limit, 0
-        free_to_it = self._free_to(job, terms)
+        is_allowed = self._machine_filter(job, terms)
 
-        def not_warm(machine: Machine) -> bool:
-            return free_to_it(machine) and (machine.spot or self._gathering.held.get(machine.name) is job)
+        def is_allowed_outside_warm(machine: Machine) -> bool:
+            return is_allowed(machine) and (machine.spot or self._gang_reservations.held.get(machine.name) is job)
 
-        shelved = (
-            self._placement_cache.place(job, count) if self._placement_cache is not None and terms.plain else None
+        cached = (
+            self._placement_cache.place(job, count)
+            if self._placement_cache is not None and terms.unrestricted
+            else None
         )
-        if shelved is not None:
-            machines = shelved
+        if cached is not None:
+            machines = cached
         else:
-            machines = room.place(job, count, job.is_gang, free_to_it if terms.enough else not_warm, limit)
-        partly = not (terms.enough or job.is_gang) and len(machines) < count
-        if partly and self._spare_gpus >= spec.gpus > 0:
-            part = min(count - len(machines), int(self._spare_gpus / spec.gpus))
+            machines = free_capacity.place(
+                job, count, job.is_gang, is_allowed if terms.may_use_warm else is_allowed_outside_warm, limit
+            )
+        places_rest = not (terms.may_use_warm or job.is_gang) and len(machines) < count
+        if places_rest and self._spare_gpus >= spec.gpus > 0:
+            rest = min(count - len(machines), int(self._spare_gpus / spec.gpus))
             if machines:
                 before = self._assign(job, machines, now_us)
-            machines = room.place(job, part, False, lambda m: free_to_it(m) and not m.spot, limit)
+            machines = free_capacity.place(job, rest, False, lambda m: is_allowed(m) and not m.spot, limit)
         self._spare_gpus -= spec.gpus * sum(not m.spot for m in machines)
         return before + (self._assign(job, machines, now_us) if machines else 0)
 
@@ -349,13 +389,14 @@
         return placed
 
     def _preempt(self, unplaced: list[tuple[Job, int]], now_us: int) -> None:
+        """Stops tasks for waiting requests that may preempt them, and reserves the freed machines."""
         if not unplaced:
             return
         stops = 0
         avoid_placement = self._c.mass_failures.avoid_placement
         usable = [m for m in self._c.machines.values() if _usable(m) and not avoid_placement(m, now_us)]
-        coming_free = capacity_after_stops(usable)
-        coming = sum(
+        stopping_capacity = capacity_after_stops(usable)
+        booting_gpus = sum(
             m.free_gpus for m in self._c.machines.values() if m.phase == BOOTING and not m.drain_reason and not m.spot
         )
         stoppable = PreemptibleTasks(
@@ -365,15 +406,15 @@
         def lost_us(task: Task) -> int:
             if task.running_us is None or task.job.is_service:
                 return 0
-            spent = now_us - task.running_us
-            return min(spent, to_us(task.job.spec.save_s)) if task.job.spec.checkpoint_s else spent
+            spent_us = now_us - task.running_us
+            return min(spent_us, to_us(task.job.spec.save_s)) if task.job.spec.checkpoint_s else spent_us
 
-        offers, nothing = Offers(lost_us), RefusalCache()
-        # What is held for a gang is no room for others' stops: machines that had been emptied for it were kept for
-        # one after the other of them, and stood idle.
-        held = self._gathering.held
+        offers, refusals = Offers(lost_us), RefusalCache()
+        # Machines reserved for a gang are not offered to other preempting jobs: machines emptied for a gang were once
+        # reserved for one such job after another, and stood idle.
+        held = self._gang_reservations.held
         free = [m for m in usable if not m.reserved and m.name not in held]
-        kept = [m for m in usable if not m.reserved and m.name in held]
+        gang_reserved = [m for m in usable if not m.reserved and m.name in held]
         reserved = {m.reserved for m in usable if m.reserved} | {job.spec.id for job in held.values()}
         for job, count in unplaced:
             if stops >= self._c.policy.preempt__max_stops:
@@ -381,35 +422,39 @@
             if not self._c.min_run_us(job):
                 continue
             need = job.spec.gpus * count
-            # What a fall took from critical work does not wait for a boot while others have room.
-            if coming >= need > 0 and self._c.recovery.precedence(job) == NO_PRECEDENCE:
-                coming -= need  # booting room holds it
+            # Critical tasks lost in a mass failure do not wait for a boot while others hold capacity.
+            if booting_gpus >= need > 0 and self._c.recovery.precedence(job) == NO_PRECEDENCE:
+                booting_gpus -= need  # it fits on booting machines
                 continue
             victims = stoppable.of(job, self._c.standing(job.spec.team, job.spec))
-            own = job.spec.id
-            asks, whole = (placement_constraints(job.spec), id(victims)), count if job.is_gang else 1
-            if own not in reserved and nothing.refuses(asks, job.spec, whole):
+            job_id = job.spec.id
+            request_kind, min_places = (placement_constraints(job.spec), id(victims)), count if job.is_gang else 1
+            if job_id not in reserved and refusals.refuses(request_kind, job.spec, min_places):
                 continue
-            theirs = [m for m in kept if self._gathering.may_use(job, m, self._place)]
-            free_for = free + theirs + ([m for m in usable if m.reserved == own] if own in reserved else [])
-            machines, stopped = choose_victims(job, count, free_for, coming_free, victims, offers)
+            usable_reserved = [
+                m for m in gang_reserved if self._gang_reservations.may_use(job, m, self._queue_positions)
+            ]
+            free_for = (
+                free + usable_reserved + ([m for m in usable if m.reserved == job_id] if job_id in reserved else [])
+            )
+            machines, stopped = choose_victims(job, count, free_for, stopping_capacity, victims, offers)
             if machines or stopped:
-                nothing.clear()
+                refusals.clear()
             elif not job.live:
-                nothing.refused(asks, job.spec, whole)
+                refusals.refused(request_kind, job.spec, min_places)
             for machine in machines:
-                # Kept for this job until its room is whole, or what it stops would only make way for
-                # the next request in the queue.
+                # Reserved until all the capacity that this job needs is free; else the next request in the queue
+                # would take what was freed for it.
                 machine.reserved = job.spec.id
-                machine.reserved_until_us = now_us + to_us(RESERVE_S)
+                machine.reserved_until_us = now_us + to_us(RESERVATION_S)
             for task in stopped:
                 minimum = self._c.min_run_us(task.job)
                 kind = "protected" if minimum else "unprotected"
                 self._c.metrics.count("preemptions", kind)
-                grace = task.job.spec.save_s + 1.0 if task.job.spec.checkpoint_s else 0.0
-                over = "past its protected time" if minimum else "without protected time"
+                grace_s = task.job.spec.save_s + 1.0 if task.job.spec.checkpoint_s else 0.0
+                protection = "past its protected time" if minimum else "without protected time"
                 self._c.halt(
-                    task, grace, f"it is {over} and job {job.spec.id} of team {job.spec.team} needs the room"
+                    task, grace_s, f"it is {protection} and job {job.spec.id} of team {job.spec.team} needs the room"
                 )
                 stops += 1
             if stopped:
@@ -417,15 +462,15 @@
                 offers.changed()
             if machines:
                 free = [m for m in free if not m.reserved]
-                kept = [m for m in kept if not m.reserved]
+                gang_reserved = [m for m in gang_reserved if not m.reserved]
 
     def _consolidate(self, now_us: int) -> None:
-        """Move the replicas of thinly used machines onto others, so that they can be returned.
+        """Moves the replicas of sparsely used machines to others, so that the machines can be returned.
 
-        Services come and go and leave machines with one replica each. A move costs its replica a
-        few seconds, so it is made only while nothing waits, onto room that has the image already,
-        and for one machine in MOVE_ONE_OF at a time: what a move costs is a share of all replicas,
-        and one machine at a time would never empty a large fleet.
+        Services come and go and leave machines with one replica each. A move interrupts its replica for a
+        few seconds, so it is made only while no service waits, to machines that have the image already, and for
+        one machine in CONSOLIDATION_DIVISOR at a time: that bounds the share of replicas that are interrupted,
+        while one machine at a time would never consolidate a large fleet.
         """
         if (
             now_us < self._next_move_us
@@ -434,13 +479,13 @@
         ):
             return
         if self._c.write_queue.waiting > self._c.config.settings.state.txn_ops:
-            return  # moves would wait for their write
+            return  # moves would wait for their writes
         if any(job.is_service and job.waits for job in self._c.active.values()):
             return
-        steady_us = to_us(self._c.policy.fleet__move_after_s)
+        min_steady_us = to_us(self._c.policy.fleet__move_after_s)
         up = [m for m in self._c.machines.values() if _usable(m) and not m.reserved]
-        moving = sum(m.drain_reason == MOVED and m.phase == UP for m in self._c.machines.values())
-        quota = max(1, len(up) // MOVE_ONE_OF) - moving
+        moving = sum(m.drain_reason == CONSOLIDATED and m.phase == UP for m in self._c.machines.values())
+        quota = max(1, len(up) // CONSOLIDATION_DIVISOR) - moving
         sources = [
             m
             for m in up
@@ -450,36 +495,36 @@
                 t.job.is_service
                 and not t.job.blocked
                 and t.running_us is not None
-                and now_us - t.running_us > steady_us
+                and now_us - t.running_us > min_steady_us
                 for t in m.tasks.values()
             )
         ]
         self._next_move_us = now_us + SECOND_US
-        # Of a job one machine's tasks move at a time: where each may go depends on where the others are,
-        # and two that moved at once have both gone to the zone that had room for one.
+        # The tasks of a job move from one machine at a time: where each may go depends on where the others are,
+        # and two that moved at once both went to a zone that had capacity for one.
         moving_jobs = {job.spec.id for job in self._c.active.values() for t in job.live.values() if t.move_to}
-        holding = [m for m in up if m.tasks and m.free_gpus > 0 and not m.fetching]
+        candidates = [m for m in up if m.tasks and m.free_gpus > 0 and not m.fetching]
         for source in sorted(sources, key=lambda m: (m.gpus - m.free_gpus, m.name)):
             if quota <= 0:
                 return
             jobs = {task.job.spec.id for task in source.tasks.values()}
-            if source.reserved or jobs & moving_jobs:  # reserved: it became the target of another
+            if source.reserved or jobs & moving_jobs:  # reserved: it is the target of another move
                 continue
-            others = [m for m in holding if m is not source and not m.drain_reason and not m.reserved]
-            targets = self._targets(source, others)
+            others = [m for m in candidates if m is not source and not m.drain_reason and not m.reserved]
+            targets = self._move_targets(source, others)
             if targets and not self._c.fleet.unmet_without(source, [m for m in up if not m.drain_reason]):
-                source.drain_reason = MOVED
+                source.drain_reason = CONSOLIDATED
                 self._next_move_us = now_us + to_us(self._c.policy.fleet__move_pause_s)
                 quota -= 1
                 moving_jobs |= jobs
                 for task, target in targets.items():
                     target.reserved = task.job.spec.id
-                    target.reserved_until_us = now_us + to_us(RESERVE_S)
+                    target.reserved_until_us = now_us + to_us(RESERVATION_S)
                     task.move_to = target
-                    self._c.halt(task, 0.0, "its machine is hardly used and is given back; it moves to another")
+                    self._c.halt(task, 0.0, "its machine is sparsely used and is being returned; it moves to another")
 
-    def _targets(self, source: Machine, others: list[Machine]) -> dict[Task, Machine]:
-        """A machine that has the image for each task of the source; empty if one finds none."""
+    def _move_targets(self, source: Machine, others: list[Machine]) -> dict[Task, Machine]:
+        """Returns for each task of the source a machine that has its image; empty if there is none for some task."""
         targets: dict[Task, Machine] = {}
         for task in source.tasks.values():
             spec = task.job.spec
@@ -499,57 +544,57 @@
         return targets
 
     def _plan_fleet(self, requests: list[Request], now_us: int) -> None:
-        asked = [(r.type, r.zone, r.spot, r.count) for r in self._c.renting.asked()]
-        # What the cloud takes in a second is asked at a time. A queue of many small rentals reached it
-        # half a minute late when a whole fleet was wanted; what has to wait is asked for in one.
-        room = max(2, int(self._c.config.settings.cloud.rps)) - len(asked)
-        if room > 0:
+        """Rents machines for requests that the present and booting machines do not satisfy."""
+        pending_rentals = [(r.type, r.zone, r.spot, r.count) for r in self._c.renting.asked()]
+        # Only as many rentals as the cloud takes in a second are pending at a time; the rest is merged into later,
+        # larger requests. Queued one by one, the many small rentals of a complete fleet were half a minute late.
+        rentals_left = max(2, int(self._c.config.settings.cloud.rps)) - len(pending_rentals)
+        if rentals_left > 0:
             avoid_placement = self._c.mass_failures.avoid_placement
-            # No room is soon to come of a machine that is silent, unless it hangs: those mostly go on before
-            # one rented in their place would be up.
-            # Nor of one that others overtook while it boots.
+            # No capacity is expected soon from a silent machine, unless it hangs (most of those resume before a
+            # replacement would be up), nor from a booting machine that later rentals have overtaken.
             late = self._c.health.boots.late
             machines = [
                 m
                 for m in self._not_held()
                 if not late(m, now_us) and (m.phase != UP or m.probe_result == HUNG or not avoid_placement(m, now_us))
             ]
-            for wish in self._c.fleet.plan(now_us, requests, machines, asked)[:room]:
-                self._c.renting.rent(wish)
+            for planned in self._c.fleet.plan(now_us, requests, machines, pending_rentals)[:rentals_left]:
+                self._c.renting.rent(planned)
 
-    def _thin_out(self, now_us: int) -> None:
-        """Give back what is hardly used or idles."""
+    def _shrink_fleet(self, now_us: int) -> None:
+        """Returns machines that idle, and consolidates those that are sparsely used."""
         self._consolidate(now_us)
         for machine in self._c.machines.values():
-            if machine.drain_reason == MOVED and machine.phase == UP and not machine.tasks:
-                self._c.request_return(machine, MOVED)
+            if machine.drain_reason == CONSOLIDATED and machine.phase == UP and not machine.tasks:
+                self._c.request_return(machine, CONSOLIDATED)
         for machine, reason in self._c.fleet.surplus(now_us, self._not_held()):
             if self._c.takeover_readiness.zone_ready(machine.zone):
                 self._c.request_return(machine, reason)
 
     def _not_held(self) -> list[Machine]:
-        """All machines but those whose room is held for a gang."""
-        return [m for m in self._c.machines.values() if m.name not in self._gathering.held]
+        """Returns all machines but those reserved for a gang."""
+        return [m for m in self._c.machines.values() if m.name not in self._gang_reservations.held]
 
 
-def told_failing(job: Job) -> str:
-    """What a job waits for that fails wherever it is tried."""
-    return f"its next try: it failed on {len(job.error_machines or ())} machines, and nothing of it was ever done"
+def describe_failing_job(job: Job) -> str:
+    """Returns the waiting reason of a job that fails on every machine."""
+    return f"its next try: it failed on {len(job.error_machines or ())} machines and no task of it was ever done"
 
 
 def _limit_of(job: Job) -> str:
-    """Which limit keeps more of the job from starting."""
+    """Returns which limit keeps more of the job's tasks from starting."""
     at_once = job.spec.at_once
     if at_once is not None and len(job.live) >= at_once:
         return f"its own limit of {at_once} at once"
     return "its team's limit"
 
 
-def _still_wait(unplaced: list[tuple[Job, int]]) -> list[tuple[Job, int]]:
-    """After a pause: some may be over; nothing is stopped or rented for them."""
+def _still_pending(unplaced: list[tuple[Job, int]]) -> list[tuple[Job, int]]:
+    """Drops jobs that ended or were blocked during a yield, and caps the counts at what is still pending."""
     return [(job, min(left, job.pending)) for job, left in unplaced if job.waits]
 
 
 def _usable(machine: Machine) -> bool:
-    """May work be placed on the machine? One whose return was asked in a pause never again (safety 5)."""
+    """True if tasks may be placed on the machine; never again once its return was requested (safety 5)."""
     return machine.phase == UP and not machine.drain_reason and not machine.suspect_since_us
