--- a/src/tideusher/core/lead/cluster.py
+++ b/src/tideusher/core/lead/cluster.py
@@ -1,8 +1,8 @@
-"""The leader's picture of jobs, tasks and machines, and every transition in it.
+"""The leader's state of jobs, tasks and machines, and all of its transitions.
 
-Pure: time is passed in, effects come out as lists (commands in answer to a report, direct commands,
-rental wishes, returns). What must be persisted goes through the WriteQueue, and what may only be done
-after that hangs on the write as an effect.
+Pure: time is passed in, and effects are collected in lists (commands in answer to a report, direct commands,
+rentals, returns). What must be persisted goes through the WriteQueue; what may only be done after that is
+attached to the write as an effect.
 """
 
 import logging
@@ -59,19 +59,19 @@
 from tideusher.wire.state import Guard
 from tideusher.wire.workers import Command, Report
 
-SHRUNK = "its user made the service smaller"
+SHRUNK_REASON = "its user made the service smaller"
 
 
 @dataclass(slots=True)
 class DirectCommand:
-    """A command to send straight to a worker, beside the answers to its reports."""
+    """A command sent to a worker in a call of its own, not in the answer to a report."""
 
     machine: Machine
     command: Command
 
 
 class Cluster:
-    """Everything the leader decides on."""
+    """Owns the state that the leader decides on; all changes to it are methods here."""
 
     def __init__(
         self,
@@ -85,14 +85,14 @@
         cluster_state: ClusterState | None = None,
         value_of: ReadValue = lambda key: None,
     ) -> None:
-        """`value_of`: a key's value as the newest read has it; needed where records share pages."""
+        """Args: `value_of` returns a key's value as of the newest read; needed where records share pages."""
         self.log = logging.getLogger("cluster")
         self.config, self.policy, self.token = config, policy, token
         self.metrics = metrics or Metrics()
         self.invariants: Invariants = Invariants(self.metrics)
         self.wall_us = wall_us
         settings = config.settings
-        #: What was followed until now; from here on it is changed by the transitions below only.
+        #: Replicated from the records until now; from here on only the transitions below change it.
         self.cluster_state = cluster_state or ClusterState(config, policy, now_us, wall_us, record_of)
         self.teams, self.usage = self.cluster_state.teams, self.cluster_state.usage
         self.jobs, self.active = self.cluster_state.jobs, self.cluster_state.active
@@ -108,7 +108,12 @@
         self.fleet = Fleet(policy, settings.objectives, types, arrivals, report_us, self.is_guest)
         self.health = Health(config, policy, self.machines, self.fleet, now_us, self.cluster_state.zones)
         self.mass_failures = MassFailureDetector(
-            config, self.machines, lambda: self.fleet.types, self.health, self._crowded, self._yields
+            config,
+            self.machines,
+            lambda: self.fleet.types,
+            self.health,
+            self._waits_for_capacity,
+            self._is_preemptible,
         )
         workers_ = settings.workers
         self.takeover_readiness = TakeoverReadiness(
@@ -117,7 +122,7 @@
         self.recovery = Recovery(self)
         self.conditions = Conditions(self, record_of)
         self.limits = Limits(self)
-        #: Records of small jobs that share values; none until `share_records`.
+        #: Pages that hold the records of several small jobs; none until `share_records`.
         self.pages = Pages(lambda: int(settings.state.value_kb * 1024), value_of)
         self._fence = Entry(keys.FENCE, self._fence_value, 0)
         self._value_of = value_of
@@ -127,34 +132,36 @@
         self.to_rent: list[Rental] = []
         self.to_return: list[Machine] = []
         self._types_value: Any = None
-        self.failures = PassFailures()  # whoever drives passes may have one that outlives this picture
+        self.failures = PassFailures()  # replaced by the caller's own if it keeps failures across terms
         self.renting = Renting(self, self.invariants, value_of)
         self.own_machines = OwnMachines(self)
-        self.rents_machines: bool = (
-            True  # false: the machines are the program's own, and neither rented nor given back
-        )
-        #: Own machines for which there may be a command: they are not waited for until they report.
+        #: False: the machines belong to the embedding program and are neither rented nor returned.
+        self.rents_machines: bool = True
+        #: Embedded machines that may have commands: these are delivered without waiting for a report.
         self.pending_machines: dict[str, Machine] = {}
-        self.writable = True  # did the state service answer our last write?
-        self.saved_us = 0  # when the state service last took a write of ours
+        self.writable = True  # whether the state service took the last write
+        self.last_saved_us = 0  # when the state service last took a write
         self.dirty: bool = True
-        self.capacity_changes = 0  # counts what may have opened room: places that came free, fetches that ended
+        self.capacity_changes = 0  # counts what may have freed capacity: released places, completed image fetches
 
     # ---------------------------------------------------------------- loading
 
     def load(self, items: Mapping[str, tuple[Any, int]], now_us: int) -> None:
-        """Take over what the state service holds. Nothing that it says is running counts as gone."""
+        """Builds the state from the state service's records; no task that they show as running counts as gone."""
         self.cluster_state.build(items, now_us)
         self.begin(now_us)
 
     def begin(self, now_us: int) -> None:
-        """What a leader does first with a picture that is up to date. Costs what is left to settle."""
+        """Starts leading on an up-to-date cluster state: completes what the last leader left unfinished.
+
+        Its cost depends only on how much was left unfinished.
+        """
         cluster_state = self.cluster_state
         self._fence.stamp = cluster_state.stamps.get(keys.FENCE, 0)
         self._take_over_pages()
         for rental in self.rentals.values():
             if not rental.answered:
-                self.to_rent.append(rental)  # same name: the cloud answers what it answered before
+                self.to_rent.append(rental)  # the cloud repeats its first answer to a rental of the same name
         self.recovery.load((key, value, stamp) for key, (value, stamp) in sorted(cluster_state.mass_failures.items()))
         for machine in list(self.machines.values()):
             if machine.phase == RETURNING:
@@ -170,7 +177,7 @@
             self.conditions.admit(job, now_us)
         self.ledger.set_fleet(self.machines.values())
         for task in cluster_state.uncharged_starts:
-            # Placed after the last charges were written: its leader's own charge went with it.
+            # Placed after the last charges were written, so its leader's charge for it is lost.
             if task.job.live.get(task.index) is task:
                 self.ledger.charge_start(task, self.min_run_us(task.job), now_us, again=True)
         cluster_state.uncharged_starts.clear()
@@ -181,20 +188,20 @@
         stored = [(key, members, stamps.pop(key, 0)) for key, members in placements.pages()]
         self.pages.load(stored, placements.pages_by_job(), self.cluster_state.fenced)
         for name in [name for name in self.pages.pages_by_job if name not in self.jobs]:
-            self.pages.drop_member(name)  # of jobs that are over
+            self.pages.drop_member(name)  # the job is over
 
     def _settle_job(self, job: Job) -> None:
-        """What the last leader left half done."""
+        """Completes what the last leader left unfinished for the job."""
         if job.status != OPEN:
             self._stop_job(job, 0.0, job.why or "its user cancelled it")
             self._retire(job)
             return
         self._finish_if_done(job)
         if job.is_gang and 0 < len(job.live) + job.done_count < job.spec.tasks and not job.failed_count:
-            # The last leader ended between the transactions of one large gang.
-            self._stop_job(job, 0.0, "its gang was not placed whole")
+            # The last leader ended between the transactions that placed one large gang.
+            self._stop_job(job, 0.0, "its gang was placed only partly")
         for task in [task for task in job.live.values() if task.index >= job.spec.tasks]:
-            self.halt(task, self._grace_s(job), SHRUNK)
+            self.halt(task, self._grace_s(job), SHRUNK_REASON)
         for task in list(job.live.values()) if job.failed_count else ():
             if job.is_over(task.index) and not job.is_done(task.index):
                 self.halt(task, self._grace_s(job), over_limit_reason(job.spec))
@@ -202,10 +209,10 @@
     # ---------------------------------------------------------------- records
 
     def share_records(self, wanted: bool) -> None:
-        """Whether small jobs' records may share pages from now on; else those that do move to keys of their own."""
+        """Lets small jobs' records share pages from now on, or moves those that do to keys of their own."""
         if wanted == self.pages.open:
             return
-        self.log.info("small jobs' records %s", "share pages from now on" if wanted else "move to keys of their own")
+        self.log.info("small jobs' records %s", "share pages from now on" if wanted else "move to separate keys")
         self.pages.open = wanted
         if wanted and not self.pages.fenced:
             self.write_queue.enqueue(self._fence)
@@ -214,23 +221,23 @@
                 self.touch_chunk(self.jobs[name], 0, urgent=False)
 
     def _fence_value(self) -> Any:
-        """While there are pages, or may be at once, versions that do not read them are kept out."""
+        """Returns the fence record: NULL while there may be pages, to keep out versions that cannot read them."""
         return NULL if self.pages.open or self.pages.any else {"by": self.token}
 
     def entry(self, key: str, value: Callable[[], Any], extra_guards: Callable[[], list[Guard]] = list) -> Entry:
-        """The entry of a key that this leader writes, made when first needed."""
+        """Returns the entry of a key that this leader writes; created on first use."""
         entry = self._entries.get(key)
         if entry is None:
-            # Of a key that is new to this leader; from here on the entry itself keeps the stamp.
+            # From here on the entry keeps the key's stamp.
             entry = self._entries[key] = Entry(key, value, self.cluster_state.stamps.pop(key, 0), extra_guards)
         return entry
 
     def forget_entry(self, key: str) -> Entry | None:
-        """Nothing more is written under the key, but for what waits already; returns its entry."""
+        """Forgets the key's entry and returns it; only writes that are queued already are still made."""
         return self._entries.pop(key, None)
 
     def knows_key(self, key: str) -> bool:
-        """Is there such a record, as far as this leader can tell?"""
+        """True if such a record exists, as far as this leader knows."""
         return key in self._entries or key in self.cluster_state.stamps or self._value_of(key) is not None
 
     def _chunk_entry(self, job: Job, chunk: Chunk) -> Entry:
@@ -239,8 +246,8 @@
         if entry is None:
 
             def extra_guards() -> list[Guard]:
-                # The job's own key guards every write that may hold an assignment, so that a
-                # cancellation accepted by any node beats the start (docs/safety.md, 1).
+                # The job's own key guards every write that may contain an assignment, so that a
+                # cancellation accepted by any node wins over the start (docs/safety.md, 1).
                 return [Guard(keys.job_key(job.spec.id), job.stamp)] if job.status == OPEN else []
 
             def value() -> Any:
@@ -249,26 +256,27 @@
                 return chunk_value(job, chunk)
 
             entry = self.entry(key, value, extra_guards)
-            # What `done` waits for is that all chunks are written, whichever is the last. It once hung on the writes
-            # of completions alone: where one that is not urgent (a stop, a place that came free) was still waiting
-            # behind them, nobody looked again, and a job of 25,000 tasks that were all done was never called so.
+            # `done` requires that all chunks are written, so each write of any chunk checks it. When only writes of
+            # completions did, a chunk that still waited for a write that is not urgent (a stop, a released place)
+            # was not checked again: a job of 25,000 completed tasks was never marked done.
             entry.settled, entry.owner = partial(self._finish_if_done, job), job.spec.id
             if job.spec.tasks <= CHUNK_TASKS and self.rents_machines:
                 entry.member = job.spec.id
         return entry
 
     def is_saved(self, job: Job, index: int) -> bool:
-        """Is what we know of the task's chunk in the state service?"""
+        """True if the present state of the task's chunk is in the state service."""
         return self.write_queue.is_written(self._chunk_entry(job, job.chunk_of(index)))
 
     def touch_chunk(self, job: Job, index: int, effect: Effect | None = None, urgent: bool = True) -> None:
+        """Enqueues the write of the task's chunk; `effect` runs once it is in the state service."""
         chunk = job.chunk_of(index)
         self.write_queue.enqueue(self._chunk_entry(job, chunk), effect, urgent)
 
     # ---------------------------------------------------------------- jobs
 
     def job_changed(self, job_id: str, value: dict[str, Any] | None, stamp: int, now_us: int) -> None:
-        """The job's own key changed: a new job, a cancellation by some node, or our own `done`."""
+        """Applies a change of the job's own key: a new job, a cancellation by some node, or this leader's `done`."""
         if value is None:
             return
         job = self.jobs.get(job_id)
@@ -278,44 +286,44 @@
             return
         if stamp <= job.stamp:
             return
-        ended, too_many = self.cluster_state.change_job(job, value, stamp)
+        ended, surplus = self.cluster_state.change_job(job, value, stamp)
         if ended:
             self.log.info("job %s is %s%s", job_id, job.status, job.why and f": {job.why}")
             if job.status == JOB_CANCELLED:
                 if "spec" in value:
-                    self._keep_begun(job, value)
+                    self._record_begun(job, value)
                 self._stop_job(job, 0.0, job.why or "its user cancelled it")
             self._retire(job)
             self.dirty = True
         elif job.status == OPEN:
             self.conditions.held(job, holder(value), now_us)
-            for task in too_many:
-                self.halt(task, self._grace_s(job), SHRUNK)
-            self.dirty = self.dirty or bool(too_many)
+            for task in surplus:
+                self.halt(task, self._grace_s(job), SHRUNK_REASON)
+            self.dirty = self.dirty or bool(surplus)
 
     def cancelled_by_peer(self, job_id: str, now_us: int) -> None:
-        """Another controller read that the job is cancelled: nothing of it starts, and what it has on machines stops.
+        """Stops the job's tasks and starts none: another controller has read that the job is cancelled.
 
-        Its record will say so once we can read it; until then nothing is written for it, since each of its records is
-        guarded by the key that was changed.
+        This leader sees the same in the job's record once it can read it. Until then no write for the job succeeds,
+        as each of them is guarded by the key that has changed.
         """
         job = self.jobs.get(job_id)
         if job is not None and job.status == OPEN:
             job.not_before_us = now_us + to_us(self.config.settings.workers.cancel_s)
-            self._stop_job(job, 0.0, "its user cancelled it, another controller tells")
+            self._stop_job(job, 0.0, "its user cancelled it, another controller reported")
 
-    def _keep_begun(self, job: Job, value: dict[str, Any]) -> None:
-        """Others wait for the begin of a job that is cancelled now: write down that it had begun.
+    def _record_begun(self, job: Job, value: dict[str, Any]) -> None:
+        """Records that the cancelled job had begun, if other jobs wait for its begin.
 
-        The node that took the cancellation may not have known. Urgent, so that it is written before the
-        removal of the job's chunks, from which a later leader would know it else.
+        The node that accepted the cancellation may not have known. The write is urgent, so that it is made before
+        the removal of the job's chunks, from which a later leader would otherwise know it.
         """
         if job.begun and "b" not in value and self.conditions.names_its_begin(job.spec.id):
             entry = Entry(keys.job_key(job.spec.id), lambda: {**value, "b": 1}, job.stamp)
             self.write_queue.enqueue(entry)
 
     def update_schedulable(self, job: Job, now_us: int) -> None:
-        """Passes look at the job from now on, or no more, as its conditions say."""
+        """Adds the job to or removes it from the active jobs, as its conditions require."""
         name = job.spec.id
         if job.status == OPEN and job.blocked and not job.live:
             self.active.pop(name, None)
@@ -326,17 +334,17 @@
         self.dirty = True
 
     def release_uncommitted(self, job: Job) -> None:
-        """Places that were not committed yet are given up: whoever held the job was told that it is held."""
+        """Releases places that are not committed yet, as the user who held the job was told that it is held."""
         for task in list(job.live.values()):
             if task.phase == COMMITTING and job.live.get(task.index) is task:
                 self.free(task, task.placed_us)
 
     def _finish_if_done(self, job: Job) -> None:
-        """All tasks over and persisted: now the job's own key may say so (safety 2)."""
+        """Writes the job's final record once all its tasks are over and persisted (safety 2)."""
         if job.status != OPEN or job.is_service or job.over_count < job.spec.tasks or job.finish_dirty:
             return
         if job.live:
-            return  # a gang's other tasks have yet to report their exit
+            return  # the other tasks of a gang have not reported their exit yet
         if not all(self.write_queue.is_written(self._chunk_entry(job, c)) for c in job.chunks.values()):
             return
         if job.failed_count:
@@ -348,23 +356,23 @@
     def _finish(self, job: Job, status: str, why: str = "", urgent: bool = True) -> None:
         job.finish_dirty = True
         key = keys.job_key(job.spec.id)
-        # Dropped if a cancellation came first: `done` must not overwrite it.
+        # Dropped if the job was cancelled first: `done` must not overwrite that.
         entry = Entry(key, lambda: final_value(job, status, why), job.stamp, valid=lambda: job.status == OPEN)
         entry.owner = job.spec.id
 
-        def told() -> None:
+        def persisted() -> None:
             if job.status == OPEN:
                 if status == JOB_DONE:
                     self.metrics.job("done", job.spec.job_class, job.spec.team)
                 job.status, job.stamp, job.why = status, entry.stamp, why
                 self._retire(job)
-                self.dirty = True  # as when a leader reads its own record first
+                self.dirty = True  # as when the leader reads its own record first
 
-        self.write_queue.enqueue(entry, told, urgent)
+        self.write_queue.enqueue(entry, persisted, urgent)
 
     def end(self, job: Job, why: str) -> None:
-        """The job can never run: its record will say why. Not urgent: starts and ends of others go first."""
-        self.log.info("end %s: %s", job.spec.id, why)
+        """Ends a job that can never run and records the reason; not urgent, other jobs' starts and ends go first."""
+        self.log.info("end job %s: %s", job.spec.id, why)
         self.metrics.count("jobs_ended_unmet")
         self._finish(job, JOB_CANCELLED, why, urgent=False)
         self.conditions.end_decided(job)
@@ -374,7 +382,7 @@
             self.halt(task, grace_s, reason)
 
     def _retire(self, job: Job) -> None:
-        """Forget a job that is over once nothing of it can be on a machine; its key stays for ever."""
+        """Forgets a job that is over once no task of it can be on a machine; its own key is kept forever."""
         if job.status == OPEN or job.live:
             return
         for chunk in job.chunks.values():
@@ -390,7 +398,7 @@
     # ---------------------------------------------------------------- places
 
     def free(self, task: Task, now_us: int, vanished: bool = False) -> None:
-        """The task is proven not to be on its machine: give place, quota and zone back (safety 3).
+        """Releases place, quota and zone of a task that is proven not to be on its machine (safety 3).
 
         `vanished`: it is gone without an exit, with its machine or its lease.
         """
@@ -401,8 +409,8 @@
             self.cluster_state.used_image(task)
         self.cluster_state.unplace(task, now_us)
         self.capacity_changes += 1
-        # With the last task of a finished job gone, the write of that is what `done` waits for: the
-        # members of a gang report their exits one by one, after the gang's completion was written.
+        # The write for the last task of a finished job is urgent, as `done` waits for it: the members of a gang
+        # report their exits one by one after the gang's completion was written.
         over = job.status == OPEN and job.over_count == job.spec.tasks
         self.touch_chunk(job, task.index, urgent=over)
         self.dirty = True
@@ -410,26 +418,26 @@
         if (
             target is not None
             and job.status == OPEN
-            and not job.blocked  # held since the move was planned
+            and not job.blocked  # held or blocked since the move was planned
             and self.machines.get(target.name) is target
             and target.phase == UP
             and not target.drain_reason
             and target.fits(job.spec)
-            and job.may_join(target.zone)  # others may have taken places there since the move was planned
+            and job.may_join(target.zone)  # other tasks of it may have been placed since
         ):
             target.reserved = ""
             self.assign(job, [target], now_us)
         if job.status != OPEN:
             self._retire(job)
         elif job.is_gang and not over and not (vanished and job.is_forming):
-            # Of a gang that has run the rest cannot go on; one that still gathers is completed by a
-            # replacement with the same attempt.
+            # The rest of a gang that has run cannot continue; a gang that is still forming is completed by a
+            # replacement with the same attempt number.
             for other in list(job.live.values()):
                 if other.halt_grace_s is None:
                     self.halt(other, 0.0, "another task of its gang is gone")
 
     def halt(self, task: Task, grace_s: float, reason: str) -> None:
-        """Have a task stopped. One whose `run` was never sent is simply taken back."""
+        """Stops a task; one whose `run` was never sent is released at once."""
         if task.halt_grace_s is not None and task.halt_grace_s <= grace_s:
             return
         task.halt_grace_s, task.halt_reason = grace_s, reason
@@ -443,13 +451,15 @@
             self.pending_machines[task.machine.name] = task.machine
 
     def record_stop(self, job: Job, task: Task, reason: str) -> None:
+        """Adds a stop to the job's record, which keeps the latest MAX_STOPS_KEPT."""
         job.stops.append({"at": self.wall_us(), "task": task.index, "on": task.machine.name, "why": reason})
         del job.stops[:-MAX_STOPS_KEPT]
-        self.touch_chunk(job, 0, urgent=False)  # the record of stops outlives this leader
+        self.touch_chunk(job, 0, urgent=False)  # the record of stops is kept for later leaders
 
-    # ---------------------------------------------------------------- what becomes of tasks
+    # ---------------------------------------------------------------- outcomes of tasks
 
     def lost(self, task: Task, reason: str, now_us: int) -> None:
+        """Releases the place of a task that is gone without an exit; records that as a stop unless it was stopped."""
         if task.halt_grace_s is None and task.job.status == OPEN:
             self.log.info("lost %s attempt %d on %s: %s", task.name, task.attempt, task.machine.name, reason)
             self.record_stop(task.job, task, reason)
@@ -457,7 +467,7 @@
         self.free(task, now_us, vanished=True)
 
     def discard(self, task: Task, now_us: int, kept: bool = False) -> None:
-        """Count the preemption bill: what a stop threw away."""
+        """Counts the run time that a stop discarded: all since the task's start or its last checkpoint."""
         if task.running_us is None or task.job.is_service or kept:
             return
         spent_us = now_us - task.running_us
@@ -467,46 +477,49 @@
         self.metrics.count("discarded_seconds", kind, to_s(spent_us))
 
     def complete(self, job: Job, index: int) -> None:
-        """A task is done (a gang completes as one); told to nobody before it is persisted."""
+        """Marks a task done (a gang completes as one); reported to nobody before it is persisted."""
         indexes = range(job.spec.tasks) if job.is_gang else (index,)
         for one in indexes:
             if job.mark_done(one):
                 self.touch_chunk(job, one)
-                self.dirty = True  # not for each report that lists it until it is forgotten
+                self.dirty = True  # only the first time, not for each further report that lists it
         job.failures = 0
 
     def running(self, task: Task, now_us: int) -> None:
-        """A report says for the first time that the task runs."""
-        # One that was inherited runs since its image was there, not since we heard of it: its minimum runtime and its
-        # charges would else begin anew with each leader.
-        # Of one that was there before we looked nobody knows: it counts as running since charges were last gathered.
-        # A job's limit is never counted from such a guess.
+        """Notes that a report has listed the task as running for the first time."""
+        # An inherited task counts as running since its image was there, not since its first report to this leader:
+        # its minimum runtime and its charges would otherwise start again with each leader. If its placement was not
+        # seen, it counts as running since charges were last gathered. A job's time limit is never measured from such
+        # an estimate.
         if task.ready_us is None or task.job.spec.limit_s is not None:
             task.running_us = now_us
         else:
             task.running_us = min(now_us, task.ready_us or self.ledger.until_us)
         self.limits.began(task, now_us)
         self.conditions.began(task.job)
-        self._began_whole(task.job)
+        self._log_all_started(task.job)
+
+    def _log_all_started(self, job: Job) -> None:
+        """Logs once that all tasks of the job run or are over.
 
-    def _began_whole(self, job: Job) -> None:
-        """Do all its tasks run, or are over? Said once. The last placed are looked at first: they begin last."""
+        The tasks placed last are checked first, as they start last.
+        """
         if job.all_started or job.pending > 0 or any(task.running_us is None for task in reversed(job.live.values())):
             return
         job.all_started = True
         if all(task.ready_us is not None for task in job.live.values()):
-            return  # it ran whole under an earlier leader, which said so
+            return  # all its tasks ran under an earlier leader, which logged that
         self.metrics.job("started", job.spec.job_class, job.spec.team)
         waited_s = to_s(max(0, self.wall_us() - job.submitted_us))
         spec = job.spec
-        told = "job %s of %s runs whole: %d tasks, %.1f s after it came"
-        self.log.info(told, spec.id, spec.team, spec.tasks, waited_s)
+        message = "job %s of %s runs whole: %d tasks, %.1f s after it came"
+        self.log.info(message, spec.id, spec.team, spec.tasks, waited_s)
 
     def enforce_limit(self, task: Task) -> None:
-        """Stop a task for good that ran longer than its job allows; a gang is stopped whole.
+        """Stops a task for good that ran longer than its job's limit; a gang is stopped as one.
 
-        That it is over is persisted first: a leader that dies after the stop would else leave a task
-        that was stopped for nothing, and the next would start it again.
+        That it is over is persisted first: if the leader died after the stop, its successor would otherwise
+        start the task again, and the stop would have been in vain.
         """
         job = task.job
         for index in range(job.spec.tasks) if job.is_gang else (task.index,):
@@ -527,13 +540,13 @@
     # ---------------------------------------------------------------- machines
 
     def add_machine(self, name: str, rental: Rental, now_us: int) -> Machine:
-        """The rental brought a machine that was not known."""
+        """Adds a machine that the rental brought and that was not known before."""
         self.dirty = True
         self.rental_index.add(rental, name)
         return self.cluster_state.add_machine(name, rental, now_us)
 
     def set_types(self, types: Iterable[MachineType]) -> None:
-        """Machine types became known or prices changed."""
+        """Sets the machine types, with their prices; persists them if they changed."""
         first = not self.cluster_state.types
         self.cluster_state.set_machine_types(types)
         value = msgspec.to_builtins(list(self.cluster_state.types.values()))
@@ -544,34 +557,37 @@
         self.dirty = True
 
     def adopt(self, report: Report, now_us: int) -> Machine:
-        """A machine that we do not know reports: a late rental. It is used, or returned when idle."""
+        """Adds an unknown machine that reports, such as that of a late rental; it is used, or returned when idle."""
         returned = report.machine in self.gone
-        self.log.info("adopt %s: it reports and no rental names it", report.machine)
-        machine = self._add_unnamed(report.machine, report, now_us)
+        self.log.info("adopt machine %s: it reports and no rental names it", report.machine)
+        machine = self._add_unrented(report.machine, report, now_us)
         if report.token < self.token:
-            # It may be a copy of a report from before its return, of which an earlier leader knew: nothing is placed
-            # there until it shows that it is there and hears us.
+            # The report may be a late copy from before the machine's return, which an earlier leader knew of: nothing
+            # is placed there until the machine shows that it exists and receives answers.
             reachability.mark_unproven(machine, now_us)
         if returned:
-            self.request_return(machine, "its return was answered before")
+            self.request_return(machine, "its return was confirmed before")
         return machine
 
-    def _add_unnamed(self, name: str, told: Report | ListedMachine, rented_us: int) -> Machine:
-        """Keep a machine that no rental of ours names under a rental of its own."""
-        rental = Rental(f"{ADOPTED}{name}", told.type, told.zone, told.spot, 1, answered=True)
+    def _add_unrented(self, name: str, source: Report | ListedMachine, rented_us: int) -> Machine:
+        """Adds a machine that no rental names, under a rental of its own."""
+        rental = Rental(f"{ADOPTED}{name}", source.type, source.zone, source.spot, 1, answered=True)
         self.rentals[rental.name] = rental
         machine = self.add_machine(name, rental, rented_us)
         self.renting.enqueue(rental, urgent=False)
         return machine
 
     def drain(self, machine: Machine, reason: str) -> None:
-        """Stop what runs on a machine that does harm, and return it."""
-        self.log.info("drain %s: %s", machine.name, reason)
+        """Returns a machine that is faulty or of the wrong type; its tasks stop with it."""
+        self.log.info("drain machine %s: %s", machine.name, reason)
         machine.drain_reason = reason
         self.request_return(machine, reason)
 
     def check_failures(self, machine: Machine, now_us: int) -> None:
-        """Is the machine at fault for what failed on it? One that may be gets no new work until that is known."""
+        """Drains a machine that is at fault for the failures on it.
+
+        One that may be at fault gets no new work until that is known.
+        """
         if machine.drain_reason or not self.rents_machines:
             return
         verdict = task_failures.judge(machine, self.jobs, now_us)
@@ -581,47 +597,48 @@
             machine.suspect_since_us = 0
         elif not machine.suspect_since_us:
             machine.suspect_since_us = now_us
-            self.log.info("%s gets no new work for now: tasks of several jobs failed on it", machine.name)
+            self.log.info("machine %s gets no new work for now: tasks of several jobs failed on it", machine.name)
 
     def request_return(self, machine: Machine, reason: str) -> None:
-        """Ask for a machine's return: persisted before the cloud hears of it, never used again."""
+        """Requests a machine's return; it is never used again, and that is persisted before the cloud is asked."""
         if machine.phase == RETURNING:
             return
         self.mark_returning(machine, reason)
         self.renting.enqueue(self.rentals[machine.rental], partial(self.ask_cloud_to_return, machine))
 
     def mark_returning(self, machine: Machine, reason: str) -> None:
-        """No work goes there from now on. Whoever calls this has it persisted before the cloud hears of it."""
+        """Excludes the machine from further work; the caller persists that before the cloud is asked."""
         if machine.phase == RETURNING:
             return
         machine.phase = RETURNING
         machine.drain_reason = machine.drain_reason or reason
         self.rental_index.mark_return_requested(machine.name)
-        self.log.info("return %s: %s", machine.name, reason)
+        self.log.info("return machine %s: %s", machine.name, reason)
         self.dirty = True
 
     def ask_cloud_to_return(self, machine: Machine) -> None:
-        """Have the cloud asked for a return that is on record, once one rental alone names the machine.
+        """Asks the cloud for a persisted return once only one rental names the machine.
 
-        Else the record that goes first when the machine is gone could leave another for the next leader to use.
+        With several, the first record removed after the return would leave another, and the next leader would use
+        the machine.
         """
         self.renting.keep_one(machine, lambda: self.to_return.append(machine))
 
-    def _crowded(self) -> bool:
+    def _waits_for_capacity(self) -> bool:
         return any(job.waits and job.waiting_reason == NO_CAPACITY for job in self.active.values())
 
-    def _yields(self, job: Job) -> bool:
+    def _is_preemptible(self, job: Job) -> bool:
         return job.spec.rank > CRITICAL and not job.is_gang and not self.min_run_us(job)
 
     def review_silent_machines(self, now_us: int, probing: Set[str]) -> SilenceReview:
-        """Judge who has fallen silent and ask for the return of those that have fallen; returns whom to call."""
-        look = self.mass_failures.review(now_us, probing)
-        for zone, fallen in look.fallen.items():
-            self._gone_silent(zone, fallen, self.mass_failures.has_many_silent(zone), now_us)
-        return look
-
-    def _gone_silent(self, zone: str, fallen: list[tuple[Machine, str]], many: bool, now_us: int) -> None:
-        """Few died each by itself; many are a fall, with a record of its own."""
+        """Requests the return of silent machines that have failed; returns the review with the machines to probe."""
+        findings = self.mass_failures.review(now_us, probing)
+        for zone, fallen in findings.fallen.items():
+            self._return_failed(zone, fallen, self.mass_failures.has_many_silent(zone), now_us)
+        return findings
+
+    def _return_failed(self, zone: str, fallen: list[tuple[Machine, str]], many: bool, now_us: int) -> None:
+        """Returns failed machines: few as single failures, many as one mass failure with its own record."""
         if many or self.recovery.recent(zone):
             self.recovery.return_failed(zone, fallen, now_us)
             return
@@ -629,7 +646,7 @@
             self.request_return(machine, why)
 
     def returned(self, names: Iterable[str], now_us: int) -> None:
-        """The cloud confirmed: the machines and everything on them are gone."""
+        """Removes machines whose return the cloud confirmed, with everything on them."""
         for name in names:
             self.failures.apply_input(f"return of {name}", now_us, partial(self._returned, name, now_us))
         self.ledger.set_fleet(self.machines.values())
@@ -638,12 +655,12 @@
         machine = self.machines.get(name)
         if machine is None or machine.phase != RETURNING:
             if name not in self.gone:
-                self.log.error("the return of %s is confirmed, and nobody asked for it", name)
+                self.log.error("the return of machine %s is confirmed, and nobody requested it", name)
             return
         del self.machines[name]
         self.gone.add(name)
         self.recovery.returned(machine)
-        # What was refused for lack of machines may be had again.
+        # The returned capacity may be rented again, so earlier refusals no longer count.
         self.fleet.granted((machine.type, machine.zone, machine.spot))
         for task in list(machine.tasks.values()):
             if task.halt_grace_s is None:
@@ -653,7 +670,7 @@
             self.renting.settle(rental)
 
     def listed(self, listing: list[ListedMachine], now_us: int) -> None:
-        """The cloud's (lagging) list: failed machines are returned, unknown ones adopted in time."""
+        """Applies the cloud's lagging list: failed machines are returned, unknown ones adopted after a while."""
         self.health.listing_received(now_us)
         failed: dict[str, list[tuple[Machine, str]]] = {}
         for item in {item.name: item for item in listing}.values():
@@ -661,17 +678,19 @@
                 f"listed machine {item.name}", now_us, partial(self._listed, item, now_us)
             )
             if stopped is not None:
-                failed.setdefault(stopped.zone, []).append((stopped, "it stopped on its own, the cloud's list says"))
+                failed.setdefault(stopped.zone, []).append(
+                    (stopped, "it stopped on its own, according to the cloud's list")
+                )
         for zone, fallen in failed.items():
-            self._gone_silent(zone, fallen, len(fallen) >= MASS_FAILURE_MACHINES, now_us)
+            self._return_failed(zone, fallen, len(fallen) >= MASS_FAILURE_MACHINES, now_us)
 
     def _listed(self, item: ListedMachine, now_us: int) -> Machine | None:
-        """What the list says of one machine; returns it if it has stopped on its own."""
+        """Applies one item of the list; returns the machine if it has stopped on its own."""
         machine = self.machines.get(item.name)
         if machine is None:
             if item.name not in self.gone and item.age_s > 6 * self.config.settings.cloud.list_lag_s + 20:
-                self.log.info("adopt %s: the cloud lists it and no rental names it", item.name)
-                self._add_unnamed(item.name, item, now_us - to_us(item.age_s))
+                self.log.info("adopt machine %s: the cloud lists it and no rental names it", item.name)
+                self._add_unrented(item.name, item, now_us - to_us(item.age_s))
             return None
         self.check_kind(machine, Kind(item.type, item.zone, item.spot), "the cloud's list")
         machine.listed = item.status
@@ -682,14 +701,14 @@
     # ---------------------------------------------------------------- decisions of a scheduling pass
 
     def min_run_us(self, job: Job) -> int:
-        """The job's protected runtime."""
+        """Returns the job's protected runtime."""
         spec = job.spec
         return self.policy.min_run_us(spec.shape, spec.estimate_s, spec.min_run_s)
 
     def assign(self, job: Job, machines: list[Machine], now_us: int) -> int:
-        """Give the job's next waiting tasks places on these machines; persisted before anyone hears.
+        """Places the job's next waiting tasks on these machines; persisted before any worker is told.
 
-        Returns how many have one now: fewer than machines only if one was chosen on which they may not start.
+        Returns how many were placed: fewer than machines only if the job may not start on some of them.
         """
         machines = self._allowed(job, machines)
         if not machines:
@@ -698,7 +717,7 @@
         chunks = {index // CHUNK_TASKS: job.chunk_of(index) for index in indexes}
         attempt = 1 + max(chunk.attempts for chunk in (job.chunks if job.is_gang else chunks).values())
         if job.is_gang and job.live:
-            attempt = next(iter(job.live.values())).attempt  # a replacement joins the gang that gathers
+            attempt = next(iter(job.live.values())).attempt  # a replacement joins the gang that is forming
         self.renting.write_those_of(machines)
         tasks = []
         for index, machine in zip(indexes, machines, strict=True):
@@ -708,16 +727,16 @@
             self.cluster_state.place(task)
             self.ledger.charge_start(task, self.min_run_us(job), now_us)
             tasks.append(task)
-        unsaved = set(chunks)
+        uncommitted = set(chunks)
         for chunk in chunks.values():
             chunk.attempts = attempt if job.is_gang else chunk.attempts + 1
 
             def persisted(number: int = chunk.number) -> None:
-                # Only now may anyone hear of the assignment (safety 2). A gang that needs several
-                # transactions is told once all of them are through: until then none of it starts.
-                unsaved.discard(number)
+                # Only now may the assignment be announced (safety 2). A gang that needs several transactions
+                # starts once all of them are committed.
+                uncommitted.discard(number)
                 for task in tasks:
-                    ready = not unsaved if job.is_gang else task.index // CHUNK_TASKS == number
+                    ready = not uncommitted if job.is_gang else task.index // CHUNK_TASKS == number
                     if ready and task.phase == COMMITTING:
                         task.phase = ASSIGNED
                         if not self.rents_machines:
@@ -731,7 +750,7 @@
         return len(tasks)
 
     def _allowed(self, job: Job, machines: list[Machine]) -> list[Machine]:
-        """Those on which the job's tasks may start, one after the other. Of a gang all or none."""
+        """Returns the machines on which the job's tasks may start, in order; for a gang all or none."""
         allowed: list[Machine] = []
         zones = zones_of_others(job)
         for machine in machines:
@@ -745,27 +764,29 @@
                 return []
         return allowed
 
-    def check_kind(self, machine: Machine, told: Kind, whose: str) -> None:
-        """The machine, or the cloud, says what it is. That counts, whatever its record says."""
-        if told == kind_of(machine):
+    def check_kind(self, machine: Machine, reported: Kind, source: str) -> None:
+        """Corrects type, zone and spot of a machine to what it or the cloud reports, whatever its record states."""
+        if reported == kind_of(machine):
             return
-        self.invariants.violated(Rule.MACHINE_KIND, f"{describe_machine(machine)} is a {told}, {whose} says")
-        machine.zone, machine.spot = told.zone, told.spot
-        if told.type != machine.type:
-            self.drain(machine, f"it is a {told.type}, not a {machine.type}")
+        self.invariants.violated(
+            Rule.MACHINE_KIND, f"{describe_machine(machine)} is a {reported}, according to {source}"
+        )
+        machine.zone, machine.spot = reported.zone, reported.spot
+        if reported.type != machine.type:
+            self.drain(machine, f"it is a {reported.type}, not a {machine.type}")
 
     def is_guest(self, team_name: str) -> bool:
-        """Has the team no guarantee, so that it runs on what others leave?"""
+        """True if the team has no guarantee and runs on what others leave."""
         team = self.teams.get(team_name)
         return team is None or not (team.cpus or team.gpus)
 
     def team_usage(self, team_name: str) -> tuple[float, float]:
-        """CPUs and GPUs of the team's tasks that are not proven gone."""
+        """Returns the CPUs and GPUs of the team's tasks that are not proven gone."""
         usage = self.usage[team_name]
         return usage[0], usage[1]
 
     def standing(self, team_name: str, extra: JobSpec | None = None) -> TeamStanding:
-        """The team's ratio, and whether its present use (and the request) is within its guarantee."""
+        """Returns the team's ratio, and whether its present use (with the request) is within its guarantee."""
         team = self.teams.get(team_name)
         if team is None:
             return TeamStanding(1e12, False)
@@ -777,12 +798,12 @@
         inside = (not team.cpus or cpus <= team.cpus + 1e-9) and (not team.gpus or gpus <= team.gpus + 1e-9)
         return TeamStanding(self.ledger.ratio(team_name), guaranteed and inside)
 
-    def settled(self, now_us: int) -> bool:
-        """Is the state service taking our writes right now? What we stop then starts again at once."""
-        return self.writable and now_us - self.saved_us < 2 * to_us(self.policy.ledger__gather_s)
+    def is_writing(self, now_us: int) -> bool:
+        """True if the state service takes writes now, so that tasks stopped for a move start again at once."""
+        return self.writable and now_us - self.last_saved_us < 2 * to_us(self.policy.ledger__gather_s)
 
     def gather(self, now_us: int) -> None:
-        """Charge what ran; the ratios go out as one value."""
+        """Charges the teams for what ran; the ratios are written as one value."""
         self.ledger.set_fleet(m for m in self.machines.values() if m.phase != RETURNING)
         elapsed_h = self.policy.ledger__gather_s / 3600
         for machine in self.machines.values():
@@ -797,5 +818,5 @@
 
 
 def describe_machine(machine: Machine) -> str:
-    """A machine as the log tells of it: with its rental, and what it is."""
+    """Returns the machine's name with its rental and kind, for log lines."""
     return f"{machine.name} ({machine.rental}: {kind_of(machine)})"
--- a/src/tideusher/core/lead/engine.py
+++ b/src/tideusher/core/lead/engine.py
@@ -107,7 +107,7 @@
     def batch_committed(self, revision: int, now_us: int) -> None:
         """The batch is through: its effects may be told."""
         self.cluster.write_queue.batch_committed(revision)
-        self.cluster.saved_us, self.cluster.writable = now_us, True
+        self.cluster.last_saved_us, self.cluster.writable = now_us, True
 
     def mark_unwritable(self) -> None:
         """What is stored did not take a write: nothing more is stopped until it does."""
--- a/src/tideusher/core/lead/explain.py
+++ b/src/tideusher/core/lead/explain.py
@@ -113,7 +113,7 @@
                 f"Team {job.spec.team} has used {ratio:.3f} of its budget; {len(ahead)} teams with waiting "
                 "work have used less and go first."
             )
-        if not cluster.settled(now_us) and cluster.write_queue.waiting:
+        if not cluster.is_writing(now_us) and cluster.write_queue.waiting:
             reasons.append("The state service does not take our writes at the moment; nothing starts until then.")
     for state, text in (
         (FETCHING, f"wait for image {job.spec.image} to be fetched"),
--- a/src/tideusher/core/lead/scheduler.py
+++ b/src/tideusher/core/lead/scheduler.py
@@ -474,7 +474,7 @@
         """
         if (
             now_us < self._next_move_us
-            or not self._c.settled(now_us)
+            or not self._c.is_writing(now_us)
             or not self._c.takeover_readiness.all_zones_ready()
         ):
             return
--- a/tests/test_two_rentals.py
+++ b/tests/test_two_rentals.py
@@ -182,7 +182,7 @@
     harness.cluster.returned(["host-1", "host-1", "host-77", "host-2", "host-3"], harness.clock.now_us())
     harness.cluster.returned(["host-3"], harness.clock.now_us())
     assert set(harness.cluster.machines) == {"host-2"}  # nobody asked for its return
-    told = [text for text in caplog.messages if "nobody asked" in text]
+    told = [text for text in caplog.messages if "nobody requested it" in text]
     assert len(told) == 2 and "host-77" in told[0] and "host-2" in told[1]
     harness.commit()
     assert not named(harness, "host-1") and not named(harness, "host-3")
