--- a/src/tideusher/core/lead/cluster.py
+++ b/src/tideusher/core/lead/cluster.py
@@ -168,7 +168,7 @@
                 self.rental_index.mark_return_requested(machine.name)
                 self.ask_cloud_to_return(machine)
             else:
-                self.renting.keep_one(machine, lambda: None)
+                self.renting.resolve_owner(machine, lambda: None)
         for key, stamp in cluster_state.orphans.items():
             self.write_queue.enqueue(Entry(key, lambda: None, stamp), urgent=False)
         for job in [self.jobs[name] for name in cluster_state.unsettled if name in self.jobs]:
@@ -622,7 +622,7 @@
         With several, the first record removed after the return would leave another, and the next leader would use
         the machine.
         """
-        self.renting.keep_one(machine, lambda: self.to_return.append(machine))
+        self.renting.resolve_owner(machine, lambda: self.to_return.append(machine))
 
     def _waits_for_capacity(self) -> bool:
         return any(job.waits and job.waiting_reason == NO_CAPACITY for job in self.active.values())
@@ -718,7 +718,7 @@
         attempt = 1 + max(chunk.attempts for chunk in (job.chunks if job.is_gang else chunks).values())
         if job.is_gang and job.live:
             attempt = next(iter(job.live.values())).attempt  # a replacement joins the gang that is forming
-        self.renting.write_those_of(machines)
+        self.renting.persist_rentals_of(machines)
         tasks = []
         for index, machine in zip(indexes, machines, strict=True):
             chunk = job.chunk_of(index)
--- a/src/tideusher/core/lead/renting.py
+++ b/src/tideusher/core/lead/renting.py
@@ -1,7 +1,7 @@
-"""Rentals: asked for under names that are never used again, and the machines that they brought.
+"""Rentals: requested under names that are never reused, and the machines that they brought.
 
-A rental's record is its intent first, then its machines. What it asks for never changes: the next leader takes each
-machine for what the record of its rental says.
+A rental's record states the intent first, then its machines. The kind of machine that it requests never changes:
+the next leader takes each machine for what the record of its rental states.
 """
 
 import logging
@@ -20,14 +20,14 @@
 from tideusher.core.model.write_queue import WriteQueue
 from tideusher.invariants import Invariants, Rule
 
-#: A rental asks for so many machines at the most.
-MOST_A_RENTAL = 50
-#: So many machines of a rental are named in the log.
-NAMED = 8
+#: The most machines that one rental requests.
+MAX_MACHINES_REQUESTED = 50
+#: The most machines of a rental that a log line names.
+MAX_NAMED = 8
 
 
-class Fleets(Protocol):
-    """What this needs of the leader's picture: rentals, machines, and the way to their records."""
+class RentalOwner(Protocol):
+    """The part of the cluster that this module needs: rentals, machines and access to their records."""
 
     token: int
     rentals: dict[str, Rental]
@@ -42,23 +42,23 @@
     dirty: bool
 
     def entry(self, key: str, value: Callable[[], Any]) -> Entry:
-        """The entry of a key that this leader writes."""
+        """Returns the entry of a key that this leader writes."""
 
     def forget_entry(self, key: str) -> Entry | None:
-        """Nothing more is written under the key, but for what waits already."""
+        """Forgets the key's entry and returns it; only writes that are queued already are still made."""
 
     def knows_key(self, key: str) -> bool:
-        """Is there such a record, as far as this leader can tell?"""
+        """True if such a record exists, as far as this leader knows."""
 
     def add_machine(self, name: str, rental: Rental, now_us: int) -> Machine:
-        """A machine is known from now on."""
+        """Adds a machine that the rental brought and that was not known before."""
 
 
 class Renting:
-    """The transitions of rentals in a cluster's picture."""
+    """The transitions of a cluster's rentals."""
 
-    def __init__(self, cluster: Fleets, invariants: Invariants, value_of: ReadValue) -> None:
-        """`value_of`: a key's value as the newest read has it."""
+    def __init__(self, cluster: RentalOwner, invariants: Invariants, value_of: ReadValue) -> None:
+        """Args: `value_of` returns a key's value as of the newest read."""
         self._c, self._invariants, self._value_of = cluster, invariants, value_of
         self.log = logging.getLogger("cluster")
         self._count = 0
@@ -66,24 +66,27 @@
     # ---------------------------------------------------------------- records
 
     def entry(self, rental: Rental) -> Entry:
-        """The rental's record; it is written only if what is on record under its name is the same rental."""
+        """Returns the rental's entry; it is written only if the record under its name is of the same rental."""
         entry = self._c.entry(keys.rental_key(rental.name), rental.value)
         entry.valid = partial(self._is_same, rental)
         return entry
 
     def enqueue(self, rental: Rental, effect: Effect | None = None, urgent: bool = True) -> None:
-        """The rental changed."""
+        """Enqueues the write of a changed rental."""
         self._c.write_queue.enqueue(self.entry(rental), effect, urgent)
 
     def _is_same(self, rental: Rental) -> bool:
-        """Asked whenever the record is about to be written. A rental that stands against another is given up."""
+        """True if the record may be written; checked before each write.
+
+        A rental whose name the record of another rental has is dropped.
+        """
         stored = self._value_of(keys.rental_key(rental.name))
-        if not stored or (_asked(stored) == _kind(rental) and rental.answered >= stored["answered"]):
+        if not stored or (_stored_kind(stored) == _kind(rental) and rental.answered >= stored["answered"]):
             return True
         self._invariants.violated(
             Rule.RENTAL_KIND,
-            f"rental {rental.name} of token {self._c.token} is {_kind(rental)}; on record under that name is "
-            f"{_asked(stored)} with {stored['machines']}",
+            f"rental {rental.name} of token {self._c.token} is {_kind(rental)}; the record of that name has "
+            f"{_stored_kind(stored)} with {stored['machines']}",
         )
         entry = self.entry(rental)
         entry.effects, entry.dirty = [], False
@@ -91,49 +94,51 @@
             self._c.rentals.pop(rental.name, None)
         return False
 
-    def write_those_of(self, machines: Iterable[Machine]) -> None:
-        """No task is on record on a machine that is not: the record of the machine is written before, or with it.
+    def persist_rentals_of(self, machines: Iterable[Machine]) -> None:
+        """Enqueues the records of these machines' rentals, to be written before or with the tasks placed there.
 
-        A later leader takes a machine that no record names for one that is gone, and what was on it with it. Records
-        of rentals wait behind urgent ones; a leader that died in between left tasks that were started again elsewhere
-        while they ran.
+        A later leader takes a machine that no record names for gone, with everything on it. Rental records wait
+        behind urgent ones; a leader that died in between left tasks that were started again elsewhere while they
+        still ran.
         """
         for rental in {machine.rental: self._c.rentals[machine.rental] for machine in machines}.values():
             if self._c.rents_machines and not self._c.write_queue.is_written(self.entry(rental)):
                 self.enqueue(rental)
 
     def settle(self, rental: Rental, effect: Effect | None = None, urgent: bool = False) -> None:
-        """Write what is left of the rental; one of which nothing is left is forgotten."""
+        """Writes what is left of the rental; a rental without machines is forgotten."""
         self.enqueue(rental, effect, urgent)
         if rental.value() is None:
             self._c.rentals.pop(rental.name, None)
             self._c.forget_entry(keys.rental_key(rental.name))
 
-    # ---------------------------------------------------------------- machines that several rentals name
+    # ---------------------------------------------------------------- machines named by several rentals
 
-    def keep_one(self, machine: Machine, then: Effect) -> None:
-        """Call `then` once one record alone names the machine, and says of its return what any of them did.
+    def resolve_owner(self, machine: Machine, then: Effect) -> None:
+        """Calls `then` once a single record names the machine, marked as returning if any of them was.
 
-        The owner's record is written first, and only then the name removed from another: a leader that ends in
-        between leaves records of which one at least says that the return was asked (safety 5).
+        The owner's record is written first, and only then is the name removed from the others: a leader that ends
+        in between leaves at least one record that states that the return was requested (safety 5).
         """
         owner, *others = self._c.rental_index.rentals_with(machine.name) or (None,)
         if owner is None or not others:
             then()
             return
-        self.log.info("machine %s is named by %s too; %s keeps it", machine.name, others[-1].name, owner.name)
+        self.log.info(
+            "machine %s is named by rental %s too; rental %s keeps it", machine.name, others[-1].name, owner.name
+        )
         self.enqueue(owner, partial(self._release, others[-1], machine, then))
 
     def _release(self, rental: Rental, machine: Machine, then: Effect) -> None:
-        if machine.name in rental.machines:  # it may be gone by now
+        if machine.name in rental.machines:  # the machine may be gone by now
             self._c.rental_index.remove(rental, machine.name)
-        self.settle(rental, partial(self.keep_one, machine, then), urgent=True)
+        self.settle(rental, partial(self.resolve_owner, machine, then), urgent=True)
 
-    def _absorb(self, adopted: Rental, rental: Rental, machine: Machine) -> None:
-        """The record of the adoption was never written, and need not be.
+    def _merge_adoption(self, adopted: Rental, rental: Rental, machine: Machine) -> None:
+        """Drops an adoption whose record was never written in favour of the rental.
 
-        What was to follow once it is written follows the rental's record instead: a return that has yet to be
-        persisted, for one.
+        Effects that waited for the adoption's record, such as a return that is not persisted yet, are attached to
+        the rental's record instead.
         """
         entry = self.entry(adopted)
         effects, entry.effects = entry.effects, []
@@ -142,14 +147,14 @@
         self._c.rental_index.remove(adopted, machine.name)
         self.settle(adopted)
 
-    # ---------------------------------------------------------------- asking
+    # ---------------------------------------------------------------- requests
 
-    def rent(self, wish: PlannedRental) -> None:
-        """Persist the intent; the cloud hears of it after that. The name holds our token: never reused."""
-        count = min(MOST_A_RENTAL, wish.count)
-        rental = Rental(self._new_name(), wish.type, wish.zone, wish.spot, count)
+    def rent(self, planned: PlannedRental) -> None:
+        """Persists the intent, then has the cloud asked. The name contains the token, so it is never reused."""
+        count = min(MAX_MACHINES_REQUESTED, planned.count)
+        rental = Rental(self._new_name(), planned.type, planned.zone, planned.spot, count)
         self._c.rentals[rental.name] = rental
-        self.log.info("rent %d %s as %s: %s", rental.count, _told(rental), rental.name, wish.reason)
+        self.log.info("rent %d %s as %s: %s", rental.count, _describe_kind(rental), rental.name, planned.reason)
         self.enqueue(rental, lambda: self._c.to_rent.append(rental))
 
     def _new_name(self) -> str:
@@ -158,33 +163,33 @@
             name = f"{self._c.token}-{self._count}"
             if name not in self._c.rentals and not self._c.knows_key(keys.rental_key(name)):
                 return name
-            found = f"a rental {name} is there already, and token {self._c.token} would name another so"
-            self._invariants.violated(Rule.RENTAL_NAME, found)
+            violation = f"a rental {name} exists already, and token {self._c.token} would give its name to another"
+            self._invariants.violated(Rule.RENTAL_NAME, violation)
 
     def asked(self) -> list[Rental]:
-        """Rentals whose answer has yet to come."""
+        """Returns the rentals that are not answered yet."""
         return [rental for rental in self._c.rentals.values() if not rental.answered]
 
     # ---------------------------------------------------------------- answers
 
     def rented(self, rental: Rental, names: list[str], now_us: int) -> None:
-        """A rental request was answered with machines."""
+        """Handles the answer to a rental request with the names of its machines."""
         if rental.answered:
             return
         rental.answered = True
         self._c.fleet.granted(_kind(rental))
-        for name in self._once(rental, names):
+        for name in self._without_repeats(rental, names):
             if name not in self._c.gone:
                 self._take(rental, name, now_us)
         self.settle(rental)
         if len(names) < rental.count:
             self._c.fleet.refused(_kind(rental), now_us)
-        told = ", ".join(names[:NAMED])
-        self.log.info("rental %s brought %d of %d machines: %s", rental.name, len(names), rental.count, told)
+        listed = ", ".join(names[:MAX_NAMED])
+        self.log.info("rental %s brought %d of %d machines: %s", rental.name, len(names), rental.count, listed)
         self._c.ledger.set_fleet(self._c.machines.values())
 
-    def _once(self, rental: Rental, names: list[str]) -> list[str]:
-        """The names of an answer, each once."""
+    def _without_repeats(self, rental: Rental, names: list[str]) -> list[str]:
+        """Returns the names in an answer without repetitions."""
         once = list(dict.fromkeys(names))
         for name in once:
             if names.count(name) > 1:
@@ -192,7 +197,7 @@
         return once
 
     def _take(self, rental: Rental, name: str, now_us: int) -> None:
-        """A machine that the answer names is the rental's from now on, unless it is of another rental."""
+        """Assigns a machine named in the answer to the rental, unless it belongs to another rental."""
         machine = self._c.machines.get(name)
         if machine is None:
             self._c.add_machine(name, rental, now_us)
@@ -201,20 +206,20 @@
         if not others or not all(other.adopted for other in others):
             self._invariants.violated(
                 Rule.RENTAL_MACHINES,
-                f"rental {rental.name} ({_kind(rental)}) brought {name}, which is of rental {machine.rental} "
+                f"rental {rental.name} ({_kind(rental)}) brought {name}, which belongs to rental {machine.rental} "
                 f"({kind_of(machine)})",
             )
             if others:
                 return
         self._c.rental_index.add(rental, name)
-        for adopted in others:  # it reported before the answer came
+        for adopted in others:  # the machine reported before the answer came
             if self._c.write_queue.never_written(self.entry(adopted)):
-                self._absorb(adopted, rental, machine)
-        self.keep_one(machine, lambda: None)
+                self._merge_adoption(adopted, rental, machine)
+        self.resolve_owner(machine, lambda: None)
 
     def refused(self, rental: Rental, now_us: int) -> None:
-        """No capacity of this kind."""
-        self.log.info("rental %s refused: no %s", rental.name, _told(rental))
+        """Handles the refusal of a rental for lack of capacity."""
+        self.log.info("rental %s refused: no capacity for %s", rental.name, _describe_kind(rental))
         self._c.fleet.refused(_kind(rental), now_us)
         rental.given_up = True
         self.settle(rental)
@@ -225,10 +230,10 @@
     return Kind(rental.type, rental.zone, rental.spot)
 
 
-def _asked(record: dict[str, Any]) -> Kind:
-    """What a rental on record asked for."""
+def _stored_kind(record: dict[str, Any]) -> Kind:
+    """Returns the kind of machine that a stored rental requested."""
     return Kind(record["type"], record["zone"], record["spot"])
 
 
-def _told(rental: Rental) -> str:
+def _describe_kind(rental: Rental) -> str:
     return str(_kind(rental))
--- a/src/tideusher/core/lead/reports.py
+++ b/src/tideusher/core/lead/reports.py
@@ -1,7 +1,7 @@
-"""Reports of workers: what they prove, and what their answers command.
+"""Processes worker reports: what they prove, and which commands go into their answers.
 
-Places, quota and zones are freed only by what a report proves (docs/safety.md, 3), and `run` is sent only
-from here (safety 4). What becomes of a task is the cluster's to do; this decides what a report says.
+Places, quota and zones are released only by what a report proves (docs/safety.md, 3), and `run` is sent only
+from here (safety 4). This module interprets the reports; the cluster carries out the transitions.
 """
 
 import logging
@@ -15,14 +15,14 @@
 from tideusher.wire import workers
 from tideusher.wire.workers import Command, Report, TaskReport
 
-#: A fetch takes up to this many times what the type's rate says: rates differ by a third.
-SLOW_FETCH = 1.5
-#: How much of the time that gang members wait for one another a fetch may use up.
-WAIT_USED = 0.8
+#: A fetch takes up to this many times as long as the machine type's rate implies: rates differ by a third.
+FETCH_TIME_FACTOR = 1.5
+#: The share of the gang members' wait for one another that a fetch may take.
+FETCH_SHARE_OF_GANG_WAIT = 0.8
 
 
 class Reports:
-    """Reads reports into a cluster's picture; the picture itself is the cluster's."""
+    """Applies reports to a cluster, which owns the state."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._c = cluster
@@ -30,7 +30,7 @@
         self.log = cluster.log
 
     def answer(self, report: Report, now_us: int) -> list[Command]:
-        """Digest a worker's report; returns the commands for its answer."""
+        """Applies a worker's report; returns the commands for its answer."""
         machine = self._c.machines.get(report.machine)
         if machine is None:
             machine = self._c.adopt(report, now_us)
@@ -38,39 +38,39 @@
         return [] if strays is None else strays + self._commands(machine)
 
     def look(self, report: Report, now_us: int) -> None:
-        """Learn from a report that came as the answer to a direct call.
+        """Applies a report that came as the answer to a direct call.
 
-        Its answer is not ours to give, so no `run` may be counted as sent with it. Nor does it close the answer to
-        the worker's own last report, which may still be on its way. A worker that follows a newer leader tells us
-        nothing: what that one has placed there is none of ours to judge.
+        It gets no answer, so no `run` may be counted as sent with it. Nor does it prove that the answer to the
+        worker's own last report has arrived, which may still be in transit. The report of a worker that follows a
+        newer leader is ignored: what that leader has placed there cannot be judged here.
         """
         machine = self._c.machines.get(report.machine)
         if machine is not None and report.token <= self._c.token:
             self._digest(machine, report, now_us, asked=False)
 
     def _digest(self, machine: Machine, report: Report, now_us: int, asked: bool) -> list[Command] | None:
-        """Take in what a report says; returns commands for attempts that hold no place, None if stale.
+        """Applies a report; returns commands for attempts that hold no place, or None if the report is stale.
 
-        `asked`: the worker sent it by itself, so its earlier reports are answered or given up.
+        `asked`: the worker sent it by itself, so its earlier reports have been answered or abandoned.
         """
         if (report.session, report.serial) <= (machine.session, machine.serial):
-            return None  # late or repeated: what it says is older than what we know
+            return None  # late or repeated: older than what is known
         new_session = machine.last_contact_us > 0 and report.session > machine.session
-        heard_us = now_us
+        contact_us = now_us
         machine.session, machine.serial = report.session, report.serial
-        lost = heeded = False  # was an answer of ours lost, was one carried out?
+        lost = effective = False  # whether an answer was lost, whether one was carried out
         if asked:
             behind = report.token < self._c.token
             lost = behind and machine.latest_own_report > (0, 0)
-            heeded = bool(machine.behind_us) and not behind
+            effective = bool(machine.behind_us) and not behind
             if behind and machine.latest_own_report == (0, 0) and not machine.last_contact_us:
-                # The first that we hear may be a copy from before our election: what controllers told of its silence
-                # holds until it shows that it hears us.
-                heard_us = machine.seen_us or now_us
+                # The first report may be a copy from before the election: the last contact that the controllers have
+                # shared counts until the worker shows that it receives answers.
+                contact_us = machine.seen_us or now_us
             machine.last_report_us = now_us
             machine.behind_us = (machine.behind_us or now_us) if behind else 0
             machine.latest_own_report = (report.session, report.serial)
-        machine.last_contact_us, machine.probes_failed, machine.probe_result = heard_us, 0, ""
+        machine.last_contact_us, machine.probes_failed, machine.probe_result = contact_us, 0, ""
         self._c.health.heard(machine.zone, now_us)
         machine.address = report.address
         self._c.check_kind(machine, Kind(report.type, report.zone, report.spot), "its own report")
@@ -82,7 +82,7 @@
                 since_s = to_s(now_us - machine.rented_us)
                 self.log.info("machine %s is up %.0f s after its rental", machine.name, since_s)
             else:
-                self.log.info("machine %s is up; it was rented before we looked", machine.name)
+                self.log.info("machine %s is up; it was rented under an earlier leader", machine.name)
             self._c.dirty = True
         if report.recall_s is not None:
             self._recalled(machine, report.recall_s, now_us)
@@ -95,16 +95,16 @@
                 continue
             listed[job_id, index, item.attempt] = item
         for (job_id, index), task in list(machine.tasks.items()):
-            item_or_none = listed.pop((job_id, index, task.attempt), None)
-            if item_or_none is not None:
-                heeded = heeded or task.phase == ASSIGNED and task.sent is not None and task.sent > (0, 0)
-                self._listed(task, item_or_none, report, now_us)
+            listed_item = listed.pop((job_id, index, task.attempt), None)
+            if listed_item is not None:
+                effective = effective or task.phase == ASSIGNED and task.sent is not None and task.sent > (0, 0)
+                self._listed(task, listed_item, report, now_us)
             elif task.sent is not None and task.phase != COMMITTING:
                 lost |= self._absent(task, report, new_session, now_us)
-        if heeded:
+        if effective:
             reachability.record_effective_answer(machine)
         elif lost and reachability.record_ignored_answer(machine, self._report_us, now_us):
-            self.release_unstarted(machine, "its machine does not hear what it is told", now_us)
+            self.release_unstarted(machine, "its machine does not receive its commands", now_us)
         return [
             command
             for (job_id, index, attempt), item in listed.items()
@@ -112,6 +112,7 @@
         ]
 
     def _listed(self, task: Task, item: TaskReport, report: Report, now_us: int) -> None:
+        """Handles a task that the report lists."""
         task.phase, task.inherited = SEEN, False
         if task.sent is None:
             task.sent = (0, 0)
@@ -125,28 +126,29 @@
                 self._c.cluster_state.used_image(task)
                 self._c.capacity_changes += 1
         elif item.state == workers.FETCHING:
-            task.machine.images.pop(task.job.spec.image, None)  # we counted on one that is gone
+            task.machine.images.pop(task.job.spec.image, None)  # the image was taken for present and is not
         if item.state == workers.ACTIVE and task.running_us is None:
             self._c.running(task, now_us)
             waited_us = self._c.wall_us() - task.job.submitted_us
             self._c.metrics.observe_wait(task.job.spec.job_class, max(0.0, to_s(waited_us)))
 
     def release_unstarted(self, machine: Machine, why: str, now_us: int) -> None:
-        """What the worker was not told to start, or surely in vain, may start elsewhere."""
+        """Releases tasks whose `run` was not sent, or provably did not arrive, so that they may start elsewhere."""
         for task in list(machine.tasks.values()):
             if task.phase == ASSIGNED and task.sent is None and task.halt_grace_s is None:
                 self._c.lost(task, why, now_us)
 
     def _absent(self, task: Task, report: Report, new_session: bool, now_us: int) -> bool:
-        """The report does not list a task that may have been started: is that proof of absence?
+        """Handles a task that may have been started and that the report does not list.
 
-        Yes, if the worker has seen our token (no older leader's order can start anything any more) and has sent a
-        report since an order of ours (one is in flight at a time, so the answer with the order was executed before,
-        or never will be). The answer to a direct call proves nothing of an order that is still on its way: it once
-        freed a place on which the task started a moment later. A new session alone proves it of our own orders, as
-        their answers are dropped in it. Of an order that an older leader may have yet to give it proves nothing.
+        That proves its absence if the worker has seen this leader's token (no older leader's command can start
+        anything any more) and has sent a report since this leader's command (one report is in flight at a time, so
+        the answer with the command was executed before, or never will be). The answer to a direct call proves nothing
+        about a command still in transit: it once released a place on which the task started a moment later. A new
+        session alone proves it for this leader's own commands, as their answers are dropped in it. It proves nothing
+        about a command that an older leader may still send.
 
-        Returns whether an order of ours was lost on its way, and is given again.
+        Returns True if a command of this leader was lost in transit and is to be sent again.
         """
         assert task.sent is not None
         ours = task.sent > (0, 0)
@@ -154,13 +156,14 @@
         if not dropped and (report.token < self._c.token or (ours and task.machine.latest_own_report <= task.sent)):
             return False
         if task.phase == ASSIGNED and not task.inherited and not new_session and task.halt_grace_s is None:
-            task.sent = None  # the answer was lost; this attempt never was on the machine: send it again
+            task.sent = None  # the answer was lost and the attempt never was on the machine: send `run` again
             return True
         reason = "its machine's lease ran out" if new_session else "its machine does not have it"
         self._c.lost(task, reason, now_us)
         return False
 
     def _exited(self, task: Task, item: TaskReport, now_us: int) -> None:
+        """Handles a task that the report lists as exited: completes it or lets it run again."""
         job, machine = task.job, task.machine
         if item.cause == workers.CAUSE_DONE:
             machine.failures_by_job.clear()
@@ -176,14 +179,14 @@
             self.log.info("%s attempt %d on %s exited: %s", task.name, task.attempt, machine.name, item.cause)
             self._c.record_stop(job, task, f"it exited: {item.cause}")
         if item.cause == workers.CAUSE_ERROR:
-            self._errored(job, machine, now_us)
+            self._failed(job, machine, now_us)
         elif item.cause in (workers.CAUSE_FULL, workers.CAUSE_IN_USE, workers.CAUSE_UNKNOWN):
             job.not_before_us = now_us + SECOND_US
         self._c.discard(task, now_us, kept=bool(item.kept))
         self._c.free(task, now_us)
 
-    def _errored(self, job: Job, machine: Machine, now_us: int) -> None:
-        """A failure is mostly the machine's fault; a job that fails everywhere backs off instead."""
+    def _failed(self, job: Job, machine: Machine, now_us: int) -> None:
+        """Counts a failure against the machine; a job that fails on all machines backs off instead."""
         job.record_failure_on(machine.name)
         job.failures += 1
         machine.failures_by_job[job.spec.id] = machine.failures_by_job.get(job.spec.id, 0) + 1
@@ -197,7 +200,7 @@
         if machine.drain_reason:
             return
         machine.drain_reason = "the cloud takes it back"
-        self.log.info("machine %s will be taken in %.0f s", machine.name, recall_s)
+        self.log.info("machine %s will be taken back by the cloud in %.0f s", machine.name, recall_s)
         self._c.dirty = True
         for task in list(machine.tasks.values()):
             if task.job.spec.checkpoint_s and recall_s > task.job.spec.save_s:
@@ -206,26 +209,27 @@
                     self._c.halt(member, task.job.spec.save_s + 1.0, "the cloud takes its machine back")
 
     def _stray(self, machine: Machine, job_id: str, index: int, attempt: int, item: TaskReport) -> Command | None:
-        """A listed attempt that holds no place: exited ones are forgotten, live ones stopped."""
+        """Returns the command for a listed attempt that holds no place: `forget` if it has exited, else `halt`."""
         job = self._c.jobs.get(job_id)
         if item.state != workers.EXITED:
             self.log.info("stop %s attempt %d on %s: it holds no place", item.task, attempt, machine.name)
             return workers.halt(item.task, attempt, 0.0)
         if job is not None and item.cause == workers.CAUSE_DONE and 0 <= index < job.spec.tasks:
             self._c.complete(job, index)
-            # `forget` only after the completion is in the state service (safety 4).
+            # `forget` is sent only after the completion is in the state service (safety 4).
             if job.status == OPEN and not self._c.is_saved(job, index):
                 return None
         return workers.forget(item.task, attempt)
 
     def _commands(self, machine: Machine) -> list[Command]:
+        """Returns the `run` and `halt` commands that are due for the machine's tasks."""
         out = []
         for task in list(machine.tasks.values()):
             if task.halt_grace_s is not None:
                 if task.phase == SEEN or task.inherited or task.sent is not None:
                     out.append(workers.halt(task.name, task.attempt, task.halt_grace_s))
             elif task.phase == ASSIGNED and task.sent is None and machine.phase == UP and task.job.status == OPEN:
-                if self._comes_too_soon(task) or not self._may_start(task):
+                if self._would_time_out(task) or not self._may_start(task):
                     continue
                 # The only place where `run` is ever sent (safety 4).
                 task.sent = (machine.session, machine.serial)
@@ -233,32 +237,32 @@
         return out
 
     def _may_start(self, task: Task) -> bool:
-        """Asked last before `run` is told. A task that may not start there, and never was told to, goes elsewhere."""
+        """Checks the placement a last time before `run` is sent; a task that may not start there is released."""
         why = refusal(task.job, task.machine, zones_of_others(task.job, task))
         if why is None:
             if self.log.isEnabledFor(logging.DEBUG):
-                told = describe_machine(task.machine)
-                self.log.debug("start %s attempt %d on %s, token %d", task.name, task.attempt, told, self._c.token)
+                placement = describe_machine(task.machine)
+                self.log.debug("start %s attempt %d on %s, token %d", task.name, task.attempt, placement, self._c.token)
             return True
         if why not in MAY_CHANGE:
-            found = f"{task.name} attempt {task.attempt} on {describe_machine(task.machine)}: {why}"
-            self._c.invariants.violated(Rule.START, found)
+            violation = f"{task.name} attempt {task.attempt} on {describe_machine(task.machine)}: {why}"
+            self._c.invariants.violated(Rule.START, violation)
         self._c.metrics.count("starts_withheld", why.name.lower())
         self._c.lost(task, f"it may not start there: {why}", task.placed_us)
         return False
 
-    def _comes_too_soon(self, task: Task) -> bool:
-        """Would this member of a gang give up waiting before others have their image?
+    def _would_time_out(self, task: Task) -> bool:
+        """True if this gang member would give up waiting before the others have their image.
 
-        A member that has its image waits `gang_wait_s` for the rest. Where a fetch takes longer, those
-        that start with the image gave up, the gang was stopped, the fetches with it, and so again. They
-        are told to run when the fetches are over.
+        A member that has its image waits `gang_wait_s` for the rest. Where a fetch took longer, the members that
+        had the image gave up, the gang was stopped together with the fetches, and the same happened at the next
+        attempt. So these members get `run` once the fetches are done.
         """
         job, machine = task.job, task.machine
         spec, kind = job.spec, self._c.fleet.types.get(machine.type)
         if not job.is_gang or kind is None or spec.image not in machine.images:
             return False
-        longest_s = spec.image_gb / max(kind.fetch_gb_per_s, 1e-6) * SLOW_FETCH
-        if longest_s < self._c.config.settings.workers.gang_wait_s * WAIT_USED:
+        longest_s = spec.image_gb / max(kind.fetch_gb_per_s, 1e-6) * FETCH_TIME_FACTOR
+        if longest_s < self._c.config.settings.workers.gang_wait_s * FETCH_SHARE_OF_GANG_WAIT:
             return False
         return any(spec.image not in other.machine.images for other in job.live.values())
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -274,7 +274,7 @@
     harness.scheduler.schedule(harness.clock.now_us())
     batch = harness.cluster.write_queue.next_batch(1)  # only one write a transaction goes through
     assert [write.key for write in batch.writes] == [keys.rental_key("adopted-late-1")]
-    monkeypatch.setattr(Renting, "write_those_of", lambda self, machines: None)
+    monkeypatch.setattr(Renting, "persist_rentals_of", lambda self, machines: None)
     harness = LeaderHarness()
     harness.report("late-1", 1)
     harness.submit(job("batch", 3))
