--- a/src/tideusher/core/lead/__init__.py
+++ b/src/tideusher/core/lead/__init__.py
@@ -1,1 +1,1 @@
-"""What a leader runs: the transitions of its picture, reports, passes, and answers to why."""
+"""What a leader runs: state transitions, report processing, scheduling passes, and explanations for users."""
--- a/src/tideusher/core/lead/engine.py
+++ b/src/tideusher/core/lead/engine.py
@@ -1,10 +1,10 @@
-"""What drives the decisions: passes in pieces, writes before effects. No I/O and no clock of its own.
+"""Runs scheduling passes in steps and orders writes before effects. It does no I/O and has no clock.
 
-The leader's actor runs one over the state service, the cloud and reports that come by HTTP; an embedded
-instance runs one over a directory and the machines of its program. Whoever runs it does four things:
-hands in what happened (`report`, `job`, `tick`), writes what `batch` gives, says how that went (`batch_committed`,
-`batch_failed`), and then carries out what `orders` gives. The order of these is what safety 2 rests on:
-nothing comes out of `orders` before the write that it hangs on was told as saved.
+The leader's actor runs an engine over the state service, the cloud and reports received by HTTP; an embedded
+instance runs one over a directory and the machines of its program. The caller does four things: it
+passes in events (`report`, `job`, `tick`), writes what `batch` returns, reports the outcome (`batch_committed`,
+`batch_failed`), and then carries out what `orders` returns. Safety 2 depends on this order: `orders` returns no
+effect before the write that it depends on was reported as committed.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -23,15 +23,15 @@
 from tideusher.metrics import Metrics
 from tideusher.wire.workers import Command
 
-#: A pass is made when something changed, and else this often.
+#: A pass runs when something changed, and otherwise at this interval.
 IDLE_PASS_US = 1_000_000
-#: While work that a fall took waits for its place, this part of a transaction is for what is not urgent.
-LAZY_PART = 4
+#: While tasks lost in a mass failure wait, one in this many writes of a transaction is for what is not urgent.
+LAZY_DIVISOR = 4
 
 
 @dataclass(slots=True)
 class Orders:
-    """What may be done now: machines to rent and to return, commands that need not wait for a report."""
+    """Effects that are due: machines to rent and to return, commands to send without waiting for a report."""
 
     rent: list[Rental] = field(default_factory=list)
     request_return: list[Machine] = field(default_factory=list)
@@ -39,7 +39,7 @@
 
 
 class Engine:
-    """Owns a picture of the cluster under one token, and the pass under way."""
+    """Owns the cluster state under one token, and the pass in progress."""
 
     def __init__(
         self,
@@ -54,9 +54,9 @@
         cluster_state: ClusterState | None = None,
         value_of: ReadValue = lambda key: None,
     ) -> None:
-        """Take over what is stored: `items` are all keys with their values and stamps; or a picture that followed.
+        """Builds the state from `items` (all keys, values and stamps), or takes over a replicated `cluster_state`.
 
-        `value_of`: a key's value as the newest read has it; needed where records share pages.
+        `value_of` returns a key's value as of the newest read; needed where records share pages.
         """
         self.token = token
         self.cluster = Cluster(config, policy, token, now_us, wall_us, metrics, record_of, cluster_state, value_of)
@@ -69,25 +69,25 @@
         self._max_ops = config.settings.state.txn_ops
         self._pass: Iterator[None] | None = None
         self._last_pass_us = 0
-        self._pieces = 0  # of the pass under way, or of the last one
+        self._steps = 0  # steps of the pass in progress, or of the last one
 
     # ---------------------------------------------------------------- passes
 
     def tick(self, now_us: int) -> bool:
-        """Begin a pass if one is due and none is under way; True if it was, and `continue_pass` has more to do."""
+        """Begins a pass if one is due and none is in progress; True if it has more steps for `continue_pass`."""
         if self._pass is not None or not (self.cluster.dirty or now_us - self._last_pass_us > IDLE_PASS_US):
             return False
-        if now_us - self._last_pass_us < self.scheduler.pause_us(self._pieces):
+        if now_us - self._last_pass_us < self.scheduler.pause_us(self._steps):
             return False
-        self._last_pass_us, self._pieces = now_us, 0
+        self._last_pass_us, self._steps = now_us, 0
         self._pass = self.scheduler.pass_steps(now_us)
         return self.continue_pass()
 
     def continue_pass(self) -> bool:
-        """One piece of the pass under way; True if there is another."""
+        """Runs one step of the pass in progress; True if there are more."""
         if self._pass is None:
             return False
-        self._pieces += 1
+        self._steps += 1
         try:
             next(self._pass)
         except StopIteration:
@@ -100,28 +100,30 @@
     # ---------------------------------------------------------------- writes, then effects
 
     def batch(self) -> Batch | None:
-        """The next transaction; None while one is under way, or when nothing waits."""
-        recovers = self.cluster.recovery.waiting() > 0
-        return self.cluster.write_queue.next_batch(self._max_ops, self._max_ops // LAZY_PART if recovers else None)
+        """Returns the next transaction; None while one is in flight, or when nothing waits."""
+        recovering = self.cluster.recovery.waiting() > 0
+        return self.cluster.write_queue.next_batch(
+            self._max_ops, self._max_ops // LAZY_DIVISOR if recovering else None
+        )
 
     def batch_committed(self, revision: int, now_us: int) -> None:
-        """The batch is through: its effects may be told."""
+        """Notes that the batch is committed: its effects are due."""
         self.cluster.write_queue.batch_committed(revision)
         self.cluster.last_saved_us, self.cluster.writable = now_us, True
 
     def mark_unwritable(self) -> None:
-        """What is stored did not take a write: nothing more is stopped until it does."""
+        """Notes that the store did not take a write: nothing more is preempted until it does."""
         self.cluster.writable = False
 
     def batch_failed(self, stamp_of: Callable[[str], int], unknown: bool = True) -> None:
-        """A batch failed: what still holds of it is written again, with stamps from a newer read.
+        """Notes that the batch failed: what is still valid is written again, with stamps from a newer read.
 
-        `unknown`: it may still be carried out.
+        `unknown`: the batch may still be applied.
         """
         self.cluster.write_queue.batch_failed(stamp_of, unknown)
 
     def orders(self) -> Orders:
-        """Take what may be done now; each is given once."""
+        """Returns the effects that are due; each is returned once."""
         cluster = self.cluster
         orders = Orders(list(cluster.to_rent), list(cluster.to_return))
         cluster.to_rent.clear()
--- a/src/tideusher/core/lead/explain.py
+++ b/src/tideusher/core/lead/explain.py
@@ -1,4 +1,4 @@
-"""Plain answers to what people ask: why does a job wait, why did it stop, where do teams stand?"""
+"""Answers to users' questions: why a job waits, why its tasks stopped, and the state of teams and machines."""
 
 from datetime import UTC, datetime
 from typing import Any
@@ -11,26 +11,26 @@
 from tideusher.wire.jobs import MAX_TASKS
 from tideusher.wire.workers import FETCHING, SAVING, WAITING
 
-#: Of the jobs that one waits for so many are named.
+#: The most jobs that a list of dependencies names.
 MAX_NAMED = 8
 
 
 def describe_stops(stops: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """The persisted record of stops as told to people."""
+    """Formats the persisted record of stops for users."""
     return [
         {"at_s": round(to_s(s["at"]), 1), "task": s["task"], "machine": s["on"], "reason": s["why"]} for s in stops
     ]
 
 
 def describe_end(why: str) -> str:
-    """How a job ended that was not done."""
+    """Returns how a job that was not done ended."""
     return f"The service ended it: {why}." if why else "Its user cancelled it."
 
 
 def explain_job(cluster: Cluster, job_id: str, now_us: int) -> dict[str, Any] | None:
-    """What the job waits for and why its tasks were stopped; None if nothing of it is open here.
+    """Returns what the job waits for and why its tasks were stopped; None if this leader does not know the job.
 
-    `req-000412/3` asks for one task: what becomes of it comes first among the reasons.
+    `req-000412/3` asks about one task, whose state comes first among the reasons.
     """
     job_id, _, number = job_id.partition("/")
     job = cluster.jobs.get(job_id)
@@ -52,7 +52,7 @@
 
 
 def oldest_waits(cluster: Cluster) -> dict[tuple[str, str], float]:
-    """Seconds since the oldest waiting job was submitted, by (gauge, class or team)."""
+    """Returns seconds since the submission of the oldest waiting job, by (gauge, class or team)."""
     waits: dict[tuple[str, str], float] = {}
     wall_us = cluster.wall_us()
     for job in cluster.active.values():
@@ -89,7 +89,7 @@
         reasons.append(
             f"Fall {mass_failure.name}, in which {mass_failure.machines} machines of {mass_failure.zone} "
             "went silent, took "
-            f"{mass_failure.jobs.get(job.spec.id, 0)} of its tasks; it is not whole again."
+            f"{mass_failure.jobs.get(job.spec.id, 0)} of its tasks; not all of them run again."
         )
     if job.pending > 0 and not job.blocked:
         text = f"{job.pending} tasks wait for {job.waiting_reason}."
@@ -114,7 +114,7 @@
                 "work have used less and go first."
             )
         if not cluster.is_writing(now_us) and cluster.write_queue.waiting:
-            reasons.append("The state service does not take our writes at the moment; nothing starts until then.")
+            reasons.append("The state service does not take writes at the moment; nothing starts until it does.")
     for state, text in (
         (FETCHING, f"wait for image {job.spec.image} to be fetched"),
         (WAITING, "have their place and wait for the rest of their gang"),
@@ -123,14 +123,14 @@
         count = sum(task.state == state for task in job.live.values())
         if count:
             reasons.append(f"{count} tasks {text}.")
-    unheard = sum(task.phase != SEEN for task in job.live.values())
-    if unheard:
-        reasons.append(f"{unheard} tasks have a place; their machine has yet to confirm them.")
+    unconfirmed = sum(task.phase != SEEN for task in job.live.values())
+    if unconfirmed:
+        reasons.append(f"{unconfirmed} tasks have a place; their machines have not confirmed them yet.")
     return reasons or [f"{len(job.live)} tasks run; nothing holds it up."]
 
 
 def _blocks(cluster: Cluster, job: Job) -> list[str]:
-    """What keeps the job from starting, whatever room there is."""
+    """Returns what keeps the job from starting, regardless of free capacity."""
     reasons = []
     if job.hold:
         reasons.append(f"It is held by {job.hold}; nothing more of it starts until it is released.")
@@ -148,17 +148,17 @@
 
 
 def mass_failures(cluster: Cluster) -> list[dict[str, Any]]:
-    """The falls on record, the newest first; with what still waits, and why."""
+    """Returns the recorded mass failures, newest first, with the jobs that still wait and why."""
     rows = []
     for mass_failure in reversed(cluster.recovery.mass_failures.values()):
-        hurt = cluster.recovery.still_waiting(mass_failure)
-        waits = {job.spec.id: _still(job) for job in hurt[:MAX_NAMED]}
+        incomplete = cluster.recovery.still_waiting(mass_failure)
+        waits = {job.spec.id: _incomplete_reason(job) for job in incomplete[:MAX_NAMED]}
         rows.append(describe_mass_failure(mass_failure.name, mass_failure.value()) | {"still_waiting": waits})
     return rows
 
 
-def _still(job: Job) -> str:
-    """Why a job that a fall hurt is not whole again."""
+def _incomplete_reason(job: Job) -> str:
+    """Returns why a job that lost tasks in a mass failure is not complete again."""
     if job.pending > 0:
         return f"{job.pending} tasks wait for {job.waiting_reason}"
     images = sum(task.running_us is None for task in job.live.values())
@@ -166,7 +166,7 @@
 
 
 def teams(cluster: Cluster) -> list[dict[str, Any]]:
-    """Ratios, charges, guarantees and present use."""
+    """Returns ratios, charges, guarantees and present use of all teams."""
     rows = []
     for team in cluster.teams.values():
         cpus, gpus = cluster.team_usage(team.name)
@@ -187,7 +187,7 @@
 
 
 def machines(cluster: Cluster, now_us: int) -> list[dict[str, Any]]:
-    """The fleet as the leader knows it."""
+    """Returns the machines as the leader knows them."""
     return [
         {
             "machine": m.name,
--- a/src/tideusher/core/lead/reports.py
+++ b/src/tideusher/core/lead/reports.py
@@ -242,7 +242,9 @@
         if why is None:
             if self.log.isEnabledFor(logging.DEBUG):
                 placement = describe_machine(task.machine)
-                self.log.debug("start %s attempt %d on %s, token %d", task.name, task.attempt, placement, self._c.token)
+                self.log.debug(
+                    "start %s attempt %d on %s, token %d", task.name, task.attempt, placement, self._c.token
+                )
             return True
         if why not in MAY_CHANGE:
             violation = f"{task.name} attempt {task.attempt} on {describe_machine(task.machine)}: {why}"
