--- a/src/tideusher/core/lead/cluster.py
+++ b/src/tideusher/core/lead/cluster.py
@@ -479,9 +479,9 @@
     def complete(self, job: Job, index: int) -> None:
         """Marks a task done (a gang completes as one); reported to nobody before it is persisted."""
         indexes = range(job.spec.tasks) if job.is_gang else (index,)
-        for one in indexes:
-            if job.mark_done(one):
-                self.touch_chunk(job, one)
+        for number in indexes:
+            if job.mark_done(number):
+                self.touch_chunk(job, number)
                 self.dirty = True  # only the first time, not for each further report that lists it
         job.failures = 0
 
@@ -625,25 +625,27 @@
         self.renting.resolve_owner(machine, lambda: self.to_return.append(machine))
 
     def _waits_for_capacity(self) -> bool:
+        """True if any job waits for capacity on a machine."""
         return any(job.waits and job.waiting_reason == NO_CAPACITY for job in self.active.values())
 
     def _is_preemptible(self, job: Job) -> bool:
+        """True if critical jobs may stop this job's tasks at any time."""
         return job.spec.rank > CRITICAL and not job.is_gang and not self.min_run_us(job)
 
     def review_silent_machines(self, now_us: int, probing: Set[str]) -> SilenceReview:
         """Requests the return of silent machines that have failed; returns the review with the machines to probe."""
         findings = self.mass_failures.review(now_us, probing)
-        for zone, fallen in findings.fallen.items():
-            self._return_failed(zone, fallen, self.mass_failures.has_many_silent(zone), now_us)
+        for zone, machines in findings.fallen.items():
+            self._return_failed(zone, machines, self.mass_failures.has_many_silent(zone), now_us)
         return findings
 
-    def _return_failed(self, zone: str, fallen: list[tuple[Machine, str]], many: bool, now_us: int) -> None:
+    def _return_failed(self, zone: str, machines: list[tuple[Machine, str]], many: bool, now_us: int) -> None:
         """Returns failed machines: few as single failures, many as one mass failure with its own record."""
         if many or self.recovery.recent(zone):
-            self.recovery.return_failed(zone, fallen, now_us)
+            self.recovery.return_failed(zone, machines, now_us)
             return
-        for machine, why in fallen:
-            self.request_return(machine, why)
+        for machine, reason in machines:
+            self.request_return(machine, reason)
 
     def returned(self, names: Iterable[str], now_us: int) -> None:
         """Removes machines whose return the cloud confirmed, with everything on them."""
@@ -652,6 +654,7 @@
         self.ledger.set_fleet(self.machines.values())
 
     def _returned(self, name: str, now_us: int) -> None:
+        """Removes one returned machine, releases its tasks and updates the records that name it."""
         machine = self.machines.get(name)
         if machine is None or machine.phase != RETURNING:
             if name not in self.gone:
@@ -681,8 +684,8 @@
                 failed.setdefault(stopped.zone, []).append(
                     (stopped, "it stopped on its own, according to the cloud's list")
                 )
-        for zone, fallen in failed.items():
-            self._return_failed(zone, fallen, len(fallen) >= MASS_FAILURE_MACHINES, now_us)
+        for zone, machines in failed.items():
+            self._return_failed(zone, machines, len(machines) >= MASS_FAILURE_MACHINES, now_us)
 
     def _listed(self, item: ListedMachine, now_us: int) -> Machine | None:
         """Applies one item of the list; returns the machine if it has stopped on its own."""
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""A region under test: a clock, leaders on stand-ins, faults by seed, and the rules judged on the ground truth."""
+"""Test harnesses: a clock, leaders on stand-ins, seeded faults, and the users' rules checked on the ground truth."""
 
 import random
 from typing import Any
@@ -86,7 +86,7 @@
 
 
 class Rules:
-    """The users' rules, judged on the ground truth."""
+    """Checks the users' rules on the ground truth."""
 
     def __init__(self, config: Config, specs: dict[str, JobSpec]) -> None:
         self.config, self.specs = config, specs
@@ -135,7 +135,7 @@
 
 
 class Harness:
-    """Leaders, state, workers and cloud under a seeded storm of faults, one second a step."""
+    """Leaders, state service, workers and cloud under seeded random faults, one second per step."""
 
     def __init__(self, seed: int, faults: float = 0.1, policy: Policy | None = None, shared: bool = False) -> None:
         self.rng, self.shared = random.Random(seed), shared
@@ -160,7 +160,7 @@
         return self.rng.random() < self.faults
 
     def new_leader(self) -> Cluster:
-        """Another node is elected and loads; the old one does not know yet and goes on."""
+        """Elects another node, which loads the records; the old leader does not know yet and continues."""
         token = self.state.elect(f"n{len(self.leaders)}")
         cluster = Cluster(
             self.config,
@@ -234,13 +234,13 @@
 
     def _commit(self, cluster: Cluster, batch: Batch, now: int) -> None:
         kind = self.rng.random() / max(self.faults, 1e-9)
-        if kind < 0.3:  # lost on the way, or given up on and applied later
+        if kind < 0.3:  # lost in transit, or timed out and applied later
             if kind < 0.2:
                 self.late_txns.append((now + self.rng.randrange(1, 30) * SECOND_US, batch))
             cluster.write_queue.batch_failed(self.state.stamp_of)
             return
         revision = self.state.txn(batch.guards, batch.writes)
-        if revision is None or kind < 0.6:  # refused, or applied with the answer lost
+        if revision is None or kind < 0.6:  # refused, or applied and its answer lost
             for key, (value, stamp) in self.state.items.items():
                 if key.startswith(keys.JOB_PREFIX):
                     cluster.job_changed(key[len(keys.JOB_PREFIX) :], value, stamp, now)
@@ -302,7 +302,7 @@
 
 
 class LeaderHarness:
-    """A leader on a state stand-in, driven by hand."""
+    """A leader on a state stand-in, driven by the test."""
 
     def __init__(self, config: Config | None = None, shared: bool = False) -> None:
         self.config, self.shared = config or make_config(), shared
@@ -327,7 +327,7 @@
         return cluster
 
     def engine(self) -> Engine:
-        """What a leader under the same token would run."""
+        """Returns an engine as a leader under the same token would run it."""
         items = self.state.items
         token, clock = self.cluster.token, self.clock
         return Engine(
@@ -345,7 +345,7 @@
         return self.cluster.jobs[spec.id]
 
     def commit(self) -> None:
-        """Write until nothing waits, as the leader's actor does, conflicts included."""
+        """Writes until nothing waits, as the leader's actor does, conflicts included."""
         for _ in range(500):
             batch = self.cluster.write_queue.next_batch(8)
             if batch is None:
@@ -367,7 +367,7 @@
         return Reports(self.cluster).answer(report, self.clock.now_us())
 
     def place(self, spec, *hosts):
-        """Submit, bring machines up (host-1 if none is named), assign and persist; returns the job."""
+        """Submits, brings machines up (host-1 if none is named), assigns and persists; returns the job."""
         placed = self.submit(spec)
         for name in hosts or ("host-1",):
             self.report(name, 1)
--- a/tests/test_failing_pass.py
+++ b/tests/test_failing_pass.py
@@ -1,4 +1,4 @@
-"""A pass that ends with an exception: the leader does not stay in office and place nothing."""
+"""A scheduling pass that raises an exception: the leader must not keep leading without placing anything."""
 
 import logging
 
@@ -18,8 +18,8 @@
 from tideusher.core.model import keys
 
 
-def fail_for(monkeypatch, wanted):
-    """Plant an exception in the placing of one job."""
+def fail_placement_of(monkeypatch, wanted):
+    """Raises an exception whenever the scheduler places this job."""
     original = Scheduler._place_job
 
     def planted(self, one, room, now_us):
@@ -30,10 +30,10 @@
     monkeypatch.setattr(Scheduler, "_place_job", planted)
 
 
-def test_a_job_that_makes_the_pass_fail_is_set_aside_and_the_others_start(sim, monkeypatch, caplog):
+def test_a_job_that_makes_the_pass_fail_is_quarantined_and_the_others_start(sim, monkeypatch, caplog):
     sim = sim()
     bad = job("service", 1, estimate_s=0.0, priority="critical", team="red")
-    fail_for(monkeypatch, bad.id)
+    fail_placement_of(monkeypatch, bad.id)
     sim.submit(bad)
     sim.run(2.0)
     others = [sim.submit(job("batch", 2, estimate_s=900.0, team=team)) for team in ("red", "blue", "poor")]
@@ -44,7 +44,7 @@
     assert bad.id in caplog.text
 
 
-def test_a_leader_whose_passes_fail_with_nothing_to_blame_leaves_the_leadership(sim, monkeypatch):
+def test_a_leader_whose_passes_fail_for_no_known_job_gives_up_the_leadership(sim, monkeypatch):
     sim = sim()
     before = sim.leader()
     failing = {id(sim.nodes[before].leader)}
@@ -67,7 +67,7 @@
     assert [len(sim.on_machines(spec.id)) for spec in specs] == [2, 2]
 
 
-def test_a_takeover_that_fails_is_made_again_on_the_records(sim, monkeypatch):
+def test_a_failed_takeover_is_repeated_from_the_records(sim, monkeypatch):
     sim = sim()
     original, planted = Standby.catch_up, ["planted"]
 
@@ -84,10 +84,10 @@
     assert not planted and [len(sim.on_machines(spec.id)) for spec in specs] == [2]
 
 
-def test_each_term_after_a_failed_pass_has_a_token_of_its_own(sim, monkeypatch):
+def test_each_term_after_a_failed_pass_has_a_new_token(sim, monkeypatch):
     sim = sim()
     bad = job("service", 1, estimate_s=0.0, priority="critical", team="red")
-    fail_for(monkeypatch, bad.id)
+    fail_placement_of(monkeypatch, bad.id)
     before = sim.service.state.stamp_of(keys.LEADER)
     sim.submit(bad)
     sim.run(5.0)
@@ -95,7 +95,7 @@
     assert sim.nodes[sim.leader()].metrics.counts["leaderships", ""] == 2
 
 
-def test_a_job_is_set_aside_for_twice_as_long_each_time():
+def test_a_job_is_quarantined_for_twice_as_long_each_time():
     failures, now_us, paused = PassFailures(), 0, []
     for _ in range(10):
         assert failures.failed(PassFailed("req-1"), now_us) is Remedy.REBUILD
@@ -106,7 +106,7 @@
     assert paused[:3] == [FIRST_PAUSE_US, 2 * FIRST_PAUSE_US, 4 * FIRST_PAUSE_US] and paused[-1] == LAST_PAUSE_US
 
 
-def test_failures_far_apart_are_no_reason_to_leave():
+def test_failures_far_apart_do_not_end_the_leadership():
     failures = PassFailures()
     assert {failures.failed(KeyError(), n * WINDOW_US) for n in range(9)} == {Remedy.REBUILD}
     assert [failures.failed(KeyError(), 99 * WINDOW_US) for _ in range(MOST)][-1] is Remedy.STEP_DOWN
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -33,7 +33,7 @@
     harness.commit()
     harness.scheduler.schedule(harness.clock.now_us())
     assert placed.live[0].phase == COMMITTING
-    assert harness.state.cancel(spec.id)  # another node answers its user before our transaction arrives
+    assert harness.state.cancel(spec.id)  # another node confirms it before the leader's transaction arrives
     harness.commit()
     assert ops(harness.report("host-1", 2)) == []
     assert harness.state.items[keys.job_key(spec.id)][0]["st"] == JOB_CANCELLED
@@ -96,7 +96,7 @@
 
 
 def test_done_is_told_when_the_last_write_that_it_waits_for_is_not_a_completion(harness):
-    """A stop on record is urgent to nobody and may be written after the last completion: nobody looked again."""
+    """A stop's record is not urgent and may be written after the last completion; `done` was not written then."""
     spec = job(tasks=CHUNK_TASKS + 1, cpus=0.1, gpus=0.0, ram_gb=0.1)
     placed = harness.place(spec)
     names = [f"{spec.id}/{index}" for index in range(spec.tasks)]
@@ -112,7 +112,7 @@
 
 
 def test_a_gangs_done_is_told_when_its_exits_come_one_by_one(harness):
-    # The exits of the other tasks once came after the only write that the telling hung on.
+    # The exits of the other tasks once came after the only write that triggered the final record.
     spec = job("gang", 2, gpus=3.0)
     placed = harness.submit(spec)
     harness.report("host-1", 1)
@@ -138,12 +138,12 @@
     harness.report("host-1", 3, (f"{spec.id}/0", 1, "exited", "done"))
     chunk = harness.cluster.write_queue.next_batch(8)
     harness.cluster.write_queue.batch_committed(harness.state.txn(chunk.guards, chunk.writes))
-    harness.state.cancel(spec.id)  # told to its user while `done` is on its way
+    harness.state.cancel(spec.id)  # confirmed to its user while `done` is in transit
     harness.commit()
     assert harness.state.items[keys.job_key(spec.id)][0]["st"] == JOB_CANCELLED
 
 
-# 3. Freed only by proof
+# 3. Places are released only by proof
 
 
 def test_absence_in_a_report_older_than_the_order_is_no_proof(harness):
@@ -151,7 +151,7 @@
     placed = harness.place(spec)
     harness.report("host-1", 5)
     assert placed.live[0].sent == (1, 5)
-    harness.report("host-1", 4)  # delayed on the way, sent before the order
+    harness.report("host-1", 4)  # delayed in transit, sent before the command
     assert placed.live[0].sent == (1, 5) and placed.live[0].phase == ASSIGNED
 
 
@@ -161,7 +161,7 @@
     old_token = harness.cluster.token
     harness.elect()
     placed = harness.cluster.jobs[spec.id]
-    harness.report("host-1", 2, token=old_token)  # the old leader's `run` may still reach it
+    harness.report("host-1", 2, token=old_token)  # the old leader's `run` may still arrive
     assert 0 in placed.live
     harness.report("host-1", 3)
     assert 0 not in placed.live
@@ -192,7 +192,7 @@
     assert 0 in b.live
     harness.cluster.request_return(harness.cluster.machines["host-1"], "a test")
     harness.commit()
-    assert 0 in b.live  # asked for is not yet gone
+    assert 0 in b.live  # a requested return is not yet a confirmed one
     harness.cluster.returned(["host-1"], harness.clock.now_us())
     assert 0 not in b.live
 
@@ -210,7 +210,7 @@
 
 
 def test_a_move_looks_again_at_the_zones_when_it_is_made(harness):
-    """Two replicas that moved at once both went to the zone that had room for one (wrong_place)."""
+    """Two replicas that moved at once both went to the zone that had capacity for one (wrong_place)."""
     spec = job("service", 3, spread=True, gpus=2.0)
     placed = harness.submit(spec)
     for name, zone in (("host-1", "a"), ("host-2", "b"), ("host-3", "b")):
@@ -256,7 +256,7 @@
 
 
 def test_a_member_with_its_image_is_told_to_run_when_long_fetches_of_the_others_are_over(harness):
-    """Members that start with the image gave up after gang_wait_s, and stopped the fetches of the rest."""
+    """Members that had the image gave up after gang_wait_s, which stopped the fetches of the others."""
     spec = job("gang", 2, gpus=3.0, image_gb=15.0)  # up to 22 s to fetch, members wait 20 s for one another
     placed = harness.submit(spec)
     for name in ("host-1", "host-2"):
@@ -370,7 +370,7 @@
 
 
 def test_the_first_machine_heard_after_a_cut_condemns_no_other(harness):
-    # A whole zone was once returned when the first of its machines was heard after a cut of 15 s.
+    # All machines of a zone were once returned when the first of them reported after a partition of 15 s.
     for name in ("host-1", "host-2", "host-3", "host-4"):
         harness.report(name, 1)
     harness.clock.pass_s(15.0)
@@ -392,14 +392,14 @@
     listing = [ListedMachine("host-1", "127.0.0.1:9", "m4", "a", False, "running", 500.0)]
     harness.cluster.listed(listing, harness.clock.now_us())
     assert harness.cluster.health.overdue(harness.clock.now_us()) == []
-    # Its silence was once told as the time since the clock began.
+    # Its silence was once given as the time since the clock began.
     harness.clock.pass_s(9.0)
     words = harness.cluster.health.silence(harness.cluster.machines["host-1"], harness.clock.now_us())
     assert words == "not heard in the 9 s of this leadership"
 
 
 def test_an_inherited_machine_that_the_cloud_lists_no_more_is_asked_soon(harness):
-    """Spot machines taken while nobody led once held their tasks until they should have booted, for 90 s."""
+    """Spot machines recalled while nobody led once kept their tasks for 90 s, until their boot was overdue."""
     from tideusher.wire.cloud import ListedMachine
 
     for name in ("host-1", "host-2", "host-3"):
@@ -415,7 +415,7 @@
         clock.pass_s(1.0)
         harness.report("host-3", machines["host-3"].serial + 1)
         if len(suspects) < 4:
-            harness.cluster.listed(listing, clock.now_us())  # may be older than our election: lists lag up to 4 s
+            harness.cluster.listed(listing, clock.now_us())  # may be older than the election: lists lag up to 4 s
         suspects.append([m.name for m in health.suspects(clock.now_us())])
     assert not any(suspects)
     harness.cluster.listed(listing, clock.now_us())
--- a/tests/test_run_time_invariants.py
+++ b/tests/test_run_time_invariants.py
@@ -1,4 +1,4 @@
-"""What is asserted at run time: each breach is planted, found, counted, and not carried out."""
+"""Run-time invariants: each violation is planted, detected, counted and not carried out."""
 
 from collections import Counter
 
@@ -17,16 +17,16 @@
 
 
 def violated(cluster):
-    """Breaches so far, by rule."""
+    """Returns the violations so far, by rule."""
     counts = cluster.metrics.counts
     return {label: count for (name, label), count in counts.items() if name == "invariant_violations"}
 
 
-def told_to_run(commands):
+def run_commands(commands):
     return [command.task for command in commands if command.op == "run"]
 
 
-# The decision itself
+# Reasons against a start
 
 
 def machine(name="h", zone="a", spot=False, phase=UP, drain_reason=""):
@@ -48,11 +48,11 @@
         ({}, {"phase": "booting"}, Refusal.NOT_UP),
     ],
 )
-def test_what_speaks_against_a_start(harness, fields, where, expected):
+def test_reasons_against_a_start(harness, fields, where, expected):
     assert refusal(harness.submit(job(**fields)), machine(**where), Counter()) == expected
 
 
-def test_where_the_others_of_a_job_are_speaks_against_a_start(harness):
+def test_zones_of_the_jobs_other_tasks_may_forbid_a_start(harness):
     together, apart = harness.submit(job(tasks=4, one_zone=True)), harness.submit(job("service", 3, spread=True))
     assert refusal(together, machine(zone="b"), Counter(a=1)) is Refusal.ONE_ZONE
     assert refusal(together, machine(zone="a"), Counter(a=3)) is None
@@ -60,7 +60,7 @@
     assert refusal(apart, machine(zone="a"), Counter(a=2)) is Refusal.SPREAD
 
 
-def test_a_task_that_has_its_place_is_none_of_the_others(harness):
+def test_a_placed_task_does_not_count_among_the_others(harness):
     placed = harness.place(job("service", 1, spread=True, estimate_s=0.0))
     (task,) = placed.live.values()
     assert refusal(placed, task.machine, zones_of_others(placed, task)) is None
@@ -68,7 +68,7 @@
     assert not zones_of_others(harness.submit(job(tasks=9)))
 
 
-# Placing, and telling to run
+# Placement and `run`
 
 
 @breaks_invariants
@@ -83,7 +83,7 @@
 
 
 @breaks_invariants
-def test_of_a_gang_nothing_is_placed_if_one_may_not_run_where_it_was_to(harness):
+def test_no_task_of_a_gang_is_placed_if_one_may_not_run_on_its_machine(harness):
     for name, spot in (("host-1", False), ("host-2", True)):
         harness.report(name, 1, spot=spot)
     gang = harness.submit(job("gang", 2, spot=False))
@@ -92,21 +92,21 @@
 
 
 @breaks_invariants
-def test_a_machine_that_says_it_is_spot_is_told_to_start_nothing_that_may_not_run_there(harness):
-    """The record of its rental says ordinary, and the task is placed before anybody hears the machine's own word."""
+def test_a_machine_that_reports_as_spot_gets_no_run_for_a_task_that_may_not_run_there(harness):
+    """Its rental's record states ordinary, and the task is placed before the machine reports that it is spot."""
     placed = harness.place(job("service", 1, spot=False, estimate_s=0.0), "host-1")
     assert [task.machine.name for task in placed.live.values()] == ["host-1"]
     commands = harness.report("host-1", 2, spot=True)
-    assert not told_to_run(commands)
-    found = violated(harness.cluster)
-    assert (found[Rule.MACHINE_KIND], found[Rule.START]) == (1, 1)
-    assert not placed.live and placed.pending == 1  # it goes elsewhere
+    assert not run_commands(commands)
+    counts = violated(harness.cluster)
+    assert (counts[Rule.MACHINE_KIND], counts[Rule.START]) == (1, 1)
+    assert not placed.live and placed.pending == 1  # it is placed elsewhere
     harness.report("host-1", 3, spot=True)
-    assert violated(harness.cluster) == found  # said once
+    assert violated(harness.cluster) == counts  # counted once
 
 
 @breaks_invariants
-def test_the_clouds_list_counts_as_the_machines_own_word(harness):
+def test_the_clouds_list_corrects_a_machines_kind(harness):
     harness.report("host-1", 1)
     one = harness.cluster.machines["host-1"]
     harness.cluster.check_kind(one, Kind("m4", "b", True), "the cloud's list")
@@ -115,10 +115,10 @@
     assert one.phase == RETURNING
 
 
-def test_a_task_whose_machine_is_taken_back_before_it_is_told_goes_elsewhere(harness):
+def test_a_task_whose_machine_is_recalled_before_run_is_sent_is_placed_elsewhere(harness):
     placed = harness.place(job("service", 1, estimate_s=0.0), "host-1")
     harness.cluster.machines["host-1"].drain_reason = "the cloud takes it back"
-    assert not told_to_run(harness.report("host-1", 2))
+    assert not run_commands(harness.report("host-1", 2))
     assert not placed.live and not violated(harness.cluster)
     assert harness.cluster.metrics.counts["starts_withheld", "draining"] == 1
 
@@ -127,7 +127,7 @@
 
 
 def second_engine(harness):
-    """What must never be: another picture under the same token, on what the first one wrote."""
+    """Returns a second cluster under the same token on the first one's records, which must never exist."""
     token = harness.cluster.token
     first = harness.cluster
     second = type(first)(
@@ -143,7 +143,7 @@
     return second
 
 
-def ask(harness, spot, zone="a"):
+def request_rental(harness, spot, zone="a"):
     harness.cluster.renting.rent(PlannedRental("m4", zone, spot, 1, "a test"))
     harness.commit()
     (rental,) = harness.cluster.to_rent
@@ -152,42 +152,42 @@
 
 
 @breaks_invariants
-def test_a_rental_is_not_named_as_one_on_record_is(harness):
-    rental = ask(harness, spot=True)
+def test_the_name_of_a_stored_rental_is_not_reused(harness):
+    rental = request_rental(harness, spot=True)
     harness.cluster.renting.rented(rental, ["host-1"], harness.clock.now_us())
     harness.commit()
     harness.cluster = second_engine(harness)
-    again = ask(harness, spot=False)
+    again = request_rental(harness, spot=False)
     assert again.name != rental.name and violated(harness.cluster) == {Rule.RENTAL_NAME: 1}
     assert harness.state.items[keys.rental_key(rental.name)][0]["spot"] is True
 
 
 @breaks_invariants
-def test_a_rental_on_record_is_not_overwritten_by_another_of_its_name(harness):
+def test_a_stored_rental_is_not_overwritten_by_another_of_its_name(harness):
     """Both engines begin before either has written."""
     first, second = harness.cluster, second_engine(harness)
     second.renting.rent(PlannedRental("m4", "a", False, 1, "a test"))
-    rental = ask(harness, spot=True)
+    rental = request_rental(harness, spot=True)
     harness.cluster = second
     harness.commit()
-    assert not second.to_rent and not second.renting.asked()  # the cloud hears of it from nobody
+    assert not second.to_rent and not second.renting.asked()  # nobody asks the cloud for it
     assert violated(second) == {Rule.RENTAL_KIND: 1} and not violated(first)
     assert harness.state.items[keys.rental_key(rental.name)][0]["spot"] is True
 
 
 @breaks_invariants
-def test_a_machine_of_one_rental_does_not_become_anothers(harness):
-    rental = ask(harness, spot=True)
+def test_a_machine_of_one_rental_is_not_assigned_to_another(harness):
+    rental = request_rental(harness, spot=True)
     harness.cluster.renting.rented(rental, ["host-1"], harness.clock.now_us())
-    other = ask(harness, spot=False)
+    other = request_rental(harness, spot=False)
     harness.cluster.renting.rented(other, ["host-1"], harness.clock.now_us())
     harness.commit()
     assert harness.cluster.machines["host-1"].rental == rental.name and not other.machines
     assert violated(harness.cluster) == {Rule.RENTAL_MACHINES: 1}
 
 
-def test_a_machine_that_reported_before_its_rental_was_answered_is_the_rentals(harness):
-    rental = ask(harness, spot=False)
+def test_a_machine_that_reports_before_its_rental_is_answered_belongs_to_the_rental(harness):
+    rental = request_rental(harness, spot=False)
     harness.report("host-1", 1)
     harness.cluster.renting.rented(rental, ["host-1"], harness.clock.now_us())
     harness.commit()
@@ -197,8 +197,8 @@
     ]
 
 
-def test_a_rental_without_an_answer_is_asked_again_under_its_name_by_the_next_leader(harness):
-    rental = ask(harness, spot=True)
+def test_the_next_leader_repeats_an_unanswered_rental_under_its_name(harness):
+    rental = request_rental(harness, spot=True)
     harness.elect()
     (again,) = harness.cluster.to_rent
     assert (again.name, again.spot) == (rental.name, True)
@@ -208,7 +208,7 @@
 
 
 @breaks_invariants
-def test_a_fall_is_not_named_as_one_on_record_is(harness):
+def test_the_name_of_a_stored_mass_failure_is_not_reused(harness):
     names = [f"host-{number}" for number in range(6)]
     for name in names:
         harness.report(name, 1)
@@ -223,20 +223,20 @@
     harness.commit()
     assert violated(harness.cluster) == {Rule.FALL_NAME: 1}
     returning = {name for name, machine in harness.elect().machines.items() if machine.phase == RETURNING}
-    assert returning == set(names[:4])  # none of the first fall is forgotten, and used
+    assert returning == set(names[:4])  # no machine of the first mass failure is forgotten and used again
 
 
 # Terms
 
 
 @breaks_invariants
-def test_a_token_is_led_with_by_one_engine_of_a_process(sim, monkeypatch):
+def test_only_one_engine_of_a_process_leads_with_a_token(sim, monkeypatch):
     sim = sim()
     node = sim.nodes[sim.leader()]
     leader, election, token = node.leader, node.election, node.election.token
     assert isinstance(leader, Leader) and leader._last_token == token
     leader._step_down(leader._engine)
-    leader.on_take_over(token)  # as if the election had let it
+    leader.on_take_over(token)  # as if the election had allowed it
     assert leader._engine is None and election.token is None
     assert node.metrics.counts["invariant_violations", Rule.ONE_TERM] == 1
     sim.run(3.0)
@@ -244,6 +244,6 @@
 
 
 @breaks_invariants
-def test_breaches_are_in_the_metrics(harness):
+def test_violations_are_in_the_metrics(harness):
     harness.cluster.invariants.violated(Rule.START, "a test")
     assert b'tideusher_invariant_violations_total{kind="start"} 1.0' in harness.cluster.metrics.text()
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -1,4 +1,4 @@
-"""A standby follows: its picture against a plain rebuild, what it knows at a takeover, and who takes over."""
+"""Standbys: the replicated state against a plain rebuild, its audit, takeovers, and charges across leaders."""
 
 import logging
 import random
@@ -24,7 +24,7 @@
 
 
 class Follower:
-    """A standby's picture, told of changes of a state stand-in late, in pieces, or collapsed."""
+    """A replicated cluster state that gets the changes of a state stand-in late, in parts, or collapsed."""
 
     def __init__(self, state, clock, config=None):
         self.state, self.clock, self.seen = state, clock, {}
@@ -32,7 +32,7 @@
         self.cluster_state = ClusterState(self.config, Policy(), clock.now_us(), clock.wall_us, state.record_of)
 
     def catch_up(self, rng=None, part=1.0):
-        """Apply what changed, oldest first; with a part below 1 some of it is left for later."""
+        """Applies changes, oldest first; with a part below 1 some are left for later."""
         items = self.state.read_all()
         news = [(stamp, key, value) for key, (value, stamp) in items.items() if self.seen.get(key) != stamp]
         news += [(self.state.tide, key, None) for key in self.seen if key not in items]
@@ -51,7 +51,7 @@
 
 
 def play(seed, steps=70, shared=False):
-    """A storm of jobs, ends, cancellations, changes of leader and lost writes; yields after each step."""
+    """Plays random jobs, ends, cancellations, changes of leader and lost writes; yields after each step."""
     rng = random.Random(seed)
     harness = Harness(seed, faults=0.08, shared=shared)
     open_jobs = []
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("forgotten", ["_vanish", "_ends", "_unname", "_note"])
-def test_a_forgotten_transition_is_found(forgotten, monkeypatch):
+def test_a_missed_transition_is_detected(forgotten, monkeypatch):
     """Planted fault: the follower leaves out one kind of transition; the comparison, or `matches`, detects it."""
     harness, follower = None, None
     for harness in play(5):
@@ -98,10 +98,10 @@
     plain = rebuilt(harness.state, harness.clock, harness.config)
     assert follower.cluster_state.comparable() != plain.comparable()
     wrong = [key for key, (value, _) in harness.state.items.items() if not follower.cluster_state.matches(key, value)]
-    assert wrong or forgotten in ("_note", "_unname")  # there no record is left that could say it
+    assert wrong or forgotten in ("_note", "_unname")  # no record is left that could show it
 
 
-# ---------------------------------------------------------------- the standby that a controller runs
+# ---------------------------------------------------------------- the standby of a controller
 
 
 class MirroredValue:
@@ -110,7 +110,10 @@
 
 
 class Node:
-    """A controller's mirror and standby, without its actors; `deaf_to`: keys of which the standby is never told."""
+    """A controller's mirror and standby, without its actors.
+
+    `deaf_to`: prefixes of keys whose changes never reach the standby.
+    """
 
     def __init__(self, state, clock, deaf_to=()):
         self.state, self.clock, self.deaf_to, self.mirror = state, clock, deaf_to, {}
@@ -123,7 +126,7 @@
         return stored and stored.value
 
     def read(self):
-        """The mirror is as the state service is now, and the standby is told of each change."""
+        """Updates the mirror from the state service and passes each change to the standby."""
         items = self.state.read_all()
         news = [(stamp, key, value) for key, (value, stamp) in items.items() if self.state_of(key) != stamp]
         news += [(self.state.tide, key, None) for key in self.mirror if key not in items]
@@ -136,7 +139,7 @@
                 self.standby.changed(key, value, stamp)
 
     def follow(self):
-        """Apply all that it was told."""
+        """Applies all changes that were passed on."""
         while self.standby.apply_step(self.clock.now_us()):
             pass
 
@@ -144,7 +147,7 @@
         return self.mirror[key].stamp if key in self.mirror else 0
 
     def lead(self, token):
-        """Take over as the leader's actor does: a read, the rest in pieces, then lead."""
+        """Takes over as the leader's actor does: reads, applies the rest in steps, then leads."""
         self.read()
         pieces, now = 0, self.clock.now_us()
         while (caught := self.standby.catch_up(now)) is None:
@@ -162,12 +165,12 @@
         return engine, caught, pieces
 
 
-def busy(seed=3):
+def busy_cluster(seed=3):
     return list(play(seed, 60))[-1]
 
 
-def test_a_takeover_applies_only_what_came_since():
-    harness = busy()
+def test_a_takeover_applies_only_the_changes_since():
+    harness = busy_cluster()
     node = Node(harness.state, harness.clock)
     node.read()
     node.follow()
@@ -180,9 +183,9 @@
     }
 
 
-def test_records_that_were_never_told_are_found_at_the_takeover():
-    """Planted: a listener that skips a kind of record. Without the check of stamps tasks would start twice."""
-    harness = busy()
+def test_records_whose_changes_never_arrived_are_found_at_the_takeover():
+    """Planted fault: a listener skips a kind of record. Without the check of stamps, tasks would start twice."""
+    harness = busy_cluster()
     node = Node(harness.state, harness.clock, deaf_to=[keys.CHUNK_PREFIX])
     node.read()
     node.follow()
@@ -193,8 +196,8 @@
     assert live and live == {name: sorted(job.live) for name, job in engine.cluster.jobs.items() if job.live}
 
 
-def test_an_audit_finds_a_difference_and_builds_anew():
-    harness = busy()
+def test_an_audit_finds_a_difference_and_rebuilds():
+    harness = busy_cluster()
     node = Node(harness.state, harness.clock)
     node.read()
     now = harness.clock.now_us()
@@ -202,7 +205,7 @@
     assert node.standby.audit(now) == []
     cluster_state = node.standby._cluster_state
     task = next(task for job in cluster_state.jobs.values() for task in job.live.values())
-    cluster_state.unplace(task, now)  # planted: a place that was lost on the way
+    cluster_state.unplace(task, now)  # planted: a missed assignment
     for _ in range(20):
         if wrong := node.standby.audit(now):
             break
@@ -219,14 +222,14 @@
 
 
 def cancelled_on_a_machine_that_is_gone(harness, spec, page):
-    """Seen on the bench: for minutes, every two to three seconds."""
+    """Seen on the bench: a rebuild every two to three seconds, for minutes."""
     harness.cancel(spec)
     assert harness.state.txn([], [page])
     return followed(harness)
 
 
 def on_a_machine_that_went_and_reports_again(harness, spec, page):
-    """Seen in the soak: a late copy of a report has it adopted, before the page is written anew."""
+    """Seen in the soak: a late copy of a report has the machine adopted before the page is written again."""
     named = {"type": "m4", "zone": "a", "spot": False, "count": 1, "answered": True, "returning": []}
     rental = Put(keys.rental_key("1-1"), {**named, "machines": ["host-1"]})
     assert harness.state.txn([], [rental]) and harness.state.txn([], [page])
@@ -239,7 +242,7 @@
     return node
 
 
-def test_what_a_page_has_of_tasks_on_machines_that_went_is_no_difference(caplog):
+def test_page_records_of_tasks_on_removed_machines_are_no_difference(caplog):
     found = []
     for case in (cancelled_on_a_machine_that_is_gone, on_a_machine_that_went_and_reports_again):
         harness, spec = Harness(3, shared=True), job()
@@ -252,7 +255,7 @@
     assert not found, caplog.messages
 
 
-def test_the_log_says_what_of_a_page_a_picture_does_not(caplog):
+def test_the_log_names_the_page_records_that_differ(caplog):
     harness, spec = Harness(3, shared=True), job()
     harness.submit(spec)
     assert harness.state.txn([], [Put(keys.page_key(0), {spec.id: {"n": 1, "d": "1"}})])
@@ -265,29 +268,29 @@
     assert f"t/p/0 ({spec.id} {{'n': 1, 'd': '1'}})" in caplog.text
 
 
-def test_a_machine_is_on_record_before_any_task_on_it(monkeypatch):
-    """A leader died as the record of a rental waited: the next took its tasks for gone and started them anew."""
+def test_a_machine_is_persisted_before_any_task_on_it(monkeypatch):
+    """A leader died while a rental's record waited: the next took its tasks for gone and started them again."""
     harness = LeaderHarness()
     harness.report("late-1", 1)  # adopted: its record is not urgent
     harness.report("late-1", 2)
     harness.submit(job("batch", 3))
     harness.scheduler.schedule(harness.clock.now_us())
-    batch = harness.cluster.write_queue.next_batch(1)  # only one write a transaction goes through
+    batch = harness.cluster.write_queue.next_batch(1)  # transactions of one write
     assert [write.key for write in batch.writes] == [keys.rental_key("adopted-late-1")]
     monkeypatch.setattr(Renting, "persist_rentals_of", lambda self, machines: None)
     harness = LeaderHarness()
     harness.report("late-1", 1)
     harness.submit(job("batch", 3))
     harness.scheduler.schedule(harness.clock.now_us())
-    # What the guard is against.
+    # Without the guard the task is written first.
     assert harness.cluster.write_queue.next_batch(1).writes[0].key.startswith(keys.CHUNK_PREFIX)
 
 
 # ---------------------------------------------------------------- charges
 
 
-def test_ratios_after_twenty_changes_are_those_of_one_leader():
-    """Charges age as ever through changes of leader, on clocks that differ; the last to write is 4 s old at each."""
+def test_ratios_after_twenty_changes_of_leader_equal_those_of_one_leader():
+    """Charges age as usual through changes of leader on different clocks; the last written are 4 s old each time."""
     teams, policy = [Team("red", gpus=8.0), Team("blue", gpus=8.0)], Policy(ledger__window_s=120.0)
 
     def ledger(now_us, wall_us):
@@ -309,14 +312,14 @@
             written = many.to_value(now_us + off_us)
             if second % 15 == 0:
                 off_us, skew_us = rng.randrange(10**9), rng.randrange(-25_000, 25_000)
-                heir = ledger(now_us + off_us, wall_us + now_us + skew_us)
-                heir.restore(written, now_us + off_us, wall_us + now_us + skew_us)
-                many = heir
+                successor = ledger(now_us + off_us, wall_us + now_us + skew_us)
+                successor.restore(written, now_us + off_us, wall_us + now_us + skew_us)
+                many = successor
         assert many.charged("red") == pytest.approx(one.charged("red"), rel=0.01)
-        assert one.charged("blue") < 1.0 and many.charged("blue") < 1.0  # all of it has aged
+        assert one.charged("blue") < 1.0 and many.charged("blue") < 1.0  # all charges have expired
 
 
-def test_the_written_charges_fit_the_smallest_value():
+def test_the_written_charges_fit_the_smallest_value_limit():
     """Eight teams with charges in all slots of an hour, on a deployment that allows 4 KiB."""
     teams = [Team(f"karta-team-{n:02d}", gpus=180.0) for n in range(8)]
     ledger = Ledger(teams, Policy(), 0, 1_700_000_000 * SECOND_US, 4096)
@@ -328,7 +331,7 @@
     assert len(msgspec.json.encode(value)) <= 4096 and len(value["karta-team-00"][3]) > 30
 
 
-def test_what_was_placed_after_the_last_written_charges_is_charged_by_the_heir():
+def test_tasks_placed_after_the_last_written_charges_are_charged_by_the_next_leader():
     harness = LeaderHarness()
     harness.submit(job("service", 2))
     node = Node(harness.state, harness.clock)
@@ -347,7 +350,7 @@
 
 
 def test_an_inherited_task_runs_since_its_image_was_there():
-    """Its protected time and its charges began anew with each leader that heard of it."""
+    """Its protected time and its charges once started again with each leader that it reported to."""
     harness = LeaderHarness()
     harness.submit(job("gang", 1, estimate_s=30.0))
     node = Node(harness.state, harness.clock)
@@ -363,14 +366,14 @@
     harness.clock.pass_s(40.0)
     engine, *_ = node.lead(harness.state.elect("n9"))
     (task,) = [t for j in engine.cluster.jobs.values() for t in j.live.values()]
-    told = [TaskReport(task.name, 1, "running", None)]
-    report = Report("host-1", "127.0.0.1:9", "m4", "a", False, 1, 9, 0, None, told)
+    listed = [TaskReport(task.name, 1, "running", None)]
+    report = Report("host-1", "127.0.0.1:9", "m4", "a", False, 1, 9, 0, None, listed)
     engine.reports.answer(report, harness.clock.now_us())
     assert task.running_us == begun + 2 * SECOND_US  # img-1 has 2 GB, the type fetches 1 GB a second
 
 
-class Followed(Harness):
-    """A storm in which each new leader leads on what its standby had followed, late and in pieces."""
+class StandbyHarness(Harness):
+    """Random faults in which each new leader takes over a state that its standby replicated late and in steps."""
 
     standby = None
 
@@ -386,15 +389,15 @@
 
     def step(self):
         super().step()
-        if self.rng.random() < 0.4:  # it is behind by seconds, and by more
+        if self.rng.random() < 0.4:  # it lags by seconds or more
             self.standby.read()
             self.standby.standby.apply_step(self.clock.now_us())
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_rules_hold_through_storms_under_leaders_that_followed(seed):
-    """Killed at any step of a write, between persisting and telling, with older leaders' writes arriving late."""
-    harness, rng = Followed(seed, faults=0.12), random.Random(seed)
+def test_rules_hold_under_random_faults_with_replicated_state(seed):
+    """Leaders end at any step of a write, between persisting and its effects; older leaders' writes arrive late."""
+    harness, rng = StandbyHarness(seed, faults=0.12), random.Random(seed)
     open_jobs = []
     for number in range(160):
         if rng.random() < 0.25:
@@ -410,8 +413,8 @@
     assert len(harness.leaders) > 15 and any(status == "done" for status in harness.rules.final.values())
 
 
-def test_jobs_that_are_over_cost_a_standby_nothing():
-    """A million of them would have doubled what a controller holds."""
+def test_jobs_that_are_over_take_no_memory_of_a_standby():
+    """A million of them would have doubled a controller's memory use."""
     clock, state = LeaderHarness().clock, StateStandIn()
     for number in range(500):
         value = {"st": "done", "at": 0, "n": 1}
@@ -422,7 +425,9 @@
     assert not node.standby.cluster_state.stamps and not node.standby.cluster_state.jobs
     _, caught, _ = node.lead(state.elect("n1"))
     assert (caught.late, caught.rebuilt) == (0, False)
-    node = Node(state, clock, deaf_to=[keys.JOB_PREFIX])  # planted: an open job ends and the standby is not told
+    node = Node(
+        state, clock, deaf_to=[keys.JOB_PREFIX]
+    )  # planted: an open job ends and the change never reaches the standby
     state.submit(spec := job("batch", 1), clock.wall_us())
     node.read()
     node.standby.begin(clock.now_us())
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -1,4 +1,4 @@
-"""A seeded storm of faults over the whole of the leader's logic: no rule may break."""
+"""Seeded random faults over all of the leader's logic: no rule may break."""
 
 import pytest
 
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("shared", [False, True], ids=["own", "shared"])
 @pytest.mark.parametrize("seed", range(12))
-def test_no_rule_breaks_in_a_storm(seed, shared):
+def test_no_rule_breaks_under_random_faults(seed, shared):
     h = Harness(seed, faults=0.12, shared=shared)
     submitted = []
     for second in range(240):
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("shared", [False, True], ids=["own", "shared"])
-def test_all_finite_work_ends_once_the_storm_is_over(shared):
+def test_all_finite_jobs_end_once_the_faults_are_over(shared):
     h = Harness(99, faults=0.15, shared=shared)
     finite = [h.submit(job("batch", 9, spot=True, estimate_s=5.0)) for _ in range(3)]
     finite += [h.submit(job("gang", 4, one_zone=True, estimate_s=5.0, team="blue")) for _ in range(2)]
@@ -75,6 +75,6 @@
     for _ in range(40):
         h.step()
     after = {(t.index, t.attempt) for w in h.workers.values() for t in w.on_machine()}
-    # A new leader once took the inherited fleet for machines that never booted and returned it.
+    # A new leader once took the inherited machines for ones that never booted, and returned them.
     assert after == before and fleet & set(h.workers)
     assert h.state.items[keys.job_key(spec.id)][0]["st"] == OPEN
--- a/tests/test_two_rentals.py
+++ b/tests/test_two_rentals.py
@@ -1,16 +1,14 @@
-"""A machine that two rentals name.
+"""A machine that two rentals name must not stop the processing of confirmed returns.
 
-What happens: the cloud confirms the return of many machines at once, and for one of them the leader's handler ends
-with `ValueError`. All machines after that name, and the tasks on them, stay where they are until the next leader.
+The leader's handler of the cloud's confirmation once ended with `ValueError: list.remove(x): x not in list`, and
+the machines after that one in the answer stayed, with their tasks, until the next leader. A machine was returned
+(538.9 s), a late copy of its last report had it adopted and its return requested at once (539.1 s), and the
+leadership changed (540.4 s) before the record of its first rental was written. The next leader read two records
+that name the machine: the first rental owned it, only the adoption listed it as returning, and `Cluster.returned`
+removed the name from the owner's list.
 
-Why: a machine was returned (538.9 s), a late copy of its last report had it adopted, with its return asked at once
-(539.1 s), and the leadership changed (540.4 s) before the record of its first rental was written. So the next leader
-read two records that name the machine. The first rental owns it, but only the adoption lists it as returning, and
-`Cluster.returned` removed the name from the owner's list.
-
-What showed it: soak with `--workers 4000`, seed 67: four times "message returned failed", `ValueError:
-list.remove(x): x not in list` in `returned`, host-000574. The records of `1-1` and `adopted-host-1` as `two_records`
-writes them do the same.
+Found by the soak with `--workers 4000`, seed 67 (four times "message returned failed", host-000574); `two_records`
+writes the records that reproduce it.
 """
 
 import itertools
@@ -43,36 +41,36 @@
 
 
 def two_records(harness, returning):
-    """host-1 is named by two rentals, of which those in `returning` say that its return was asked."""
+    """Writes two rentals that name host-1, of which those in `returning` state that its return was requested."""
     for name, hosts in ((OWNER, ["host-1", "host-2"]), (ADOPTION, ["host-1"])):
         asked = ["host-1"] if name in returning else []
         write(harness, keys.rental_key(name), rental_value(hosts, asked))
 
 
-def named(harness, host):
-    """The rentals on record that name the machine."""
+def rentals_naming(harness, host):
+    """Returns the keys of the stored rentals that name the machine."""
     records = harness.state.read_all().items()
     return [key for key, (value, _) in records if key.startswith(keys.RENTAL_PREFIX) and host in value["machines"]]
 
 
-def returns(harness):
-    """What the cloud is asked for, once everything is written."""
+def requested_returns(harness):
+    """Writes everything; returns the machines whose return the cloud is asked for."""
     harness.commit()
     asked, harness.cluster.to_return = harness.cluster.to_return, []
     return [machine.name for machine in asked]
 
 
-def return_all(harness):
-    """The cloud confirms all returns, until none is asked for any more."""
+def confirm_all_returns(harness):
+    """Confirms all returns until none is requested any more."""
     for _ in range(5):
-        if not (names := returns(harness)):
+        if not (names := requested_returns(harness)):
             return
         harness.cluster.returned(names, harness.clock.now_us())
-    raise AssertionError("returns are asked for without end")
+    raise AssertionError("returns are requested without end")
 
 
 @pytest.mark.parametrize("returning", [(OWNER,), (ADOPTION,), BOTH])
-def test_an_answer_of_many_names_is_taken_in_whole(returning):
+def test_a_confirmation_of_many_returns_is_processed_completely(returning):
     harness = LeaderHarness()
     spec = job("batch", 2, gpus=4.0)
     placed = harness.place(spec, "host-8", "host-9")
@@ -82,10 +80,10 @@
     for name in ("host-8", "host-9"):
         harness.cluster.request_return(harness.cluster.machines[name], "the test has it returned")
     assert len(placed.live) == 2
-    return_all(harness)
+    confirm_all_returns(harness)
     assert not placed.live and placed.pending == 2
     assert set(harness.cluster.machines) == {"host-2"}
-    assert not any(named(harness, name) for name in ("host-1", "host-8", "host-9"))
+    assert not any(rentals_naming(harness, name) for name in ("host-1", "host-8", "host-9"))
     assert {name: rental.machines for name, rental in harness.cluster.rentals.items()} == {OWNER: ["host-2"]}
 
 
@@ -96,9 +94,9 @@
     harness.elect()
     if not returning:
         harness.commit()
-        assert named(harness, "host-1") == [keys.rental_key(OWNER)]
+        assert rentals_naming(harness, "host-1") == [keys.rental_key(OWNER)]
         harness.cluster.request_return(harness.cluster.machines["host-1"], "the test has it returned")
-    return_all(harness)
+    confirm_all_returns(harness)
     harness.elect()
     assert set(harness.cluster.machines) == {"host-2"} and set(harness.cluster.rentals) == {OWNER}
 
@@ -106,7 +104,7 @@
 @pytest.mark.parametrize("returning", [(OWNER,), (ADOPTION,), BOTH])
 @pytest.mark.parametrize("answered", [False, True])
 def test_a_machine_whose_return_was_asked_is_never_used_whichever_write_was_the_last(returning, answered):
-    """The leader changes after each of its writes, one a transaction; the return may have been confirmed before."""
+    """The leader changes after each write, one per transaction; the return may have been confirmed before."""
     for writes in itertools.count():
         harness = LeaderHarness()
         two_records(harness, returning)
@@ -124,31 +122,31 @@
         harness.elect()
         machine = harness.cluster.machines.get("host-1")
         assert machine is None or machine.phase == RETURNING, f"usable after {writes} writes"
-        return_all(harness)
-        assert not named(harness, "host-1")
+        confirm_all_returns(harness)
+        assert not rentals_naming(harness, "host-1")
         if batch is None:
             return
 
 
-def test_the_story_of_the_soak():
-    """Returned with a fall, adopted by a late copy, and another leader before the rental's record is written."""
+def test_a_returned_machine_is_adopted_by_a_late_report_before_a_change_of_leader():
+    """Returned in a mass failure, adopted through a late copy, then a new leader before the rental is written."""
     harness = LeaderHarness()
     write(harness, keys.rental_key(OWNER), rental_value(["host-1", "host-2", "host-3"]))
     harness.elect()
     harness.report("host-1", 1)
     fallen = [(harness.cluster.machines[name], "silent") for name in ("host-1", "host-3")]
     harness.cluster.recovery.return_failed("a", fallen, harness.clock.now_us())
-    names = returns(harness)
+    names = requested_returns(harness)
     assert sorted(names) == ["host-1", "host-3"]
     harness.cluster.returned(["host-1"], harness.clock.now_us())
-    harness.report("host-1", 2, token=0)  # a late copy: adopted, and its return is asked at once
+    harness.report("host-1", 2, token=0)  # a late copy: adopted, and its return is requested at once
     adoption = harness.cluster.rentals[ADOPTION]
     write(harness, keys.rental_key(ADOPTION), adoption.value())
     harness.elect()
-    assert sorted(named(harness, "host-1")) == [keys.rental_key(OWNER), keys.rental_key(ADOPTION)]
-    return_all(harness)
+    assert sorted(rentals_naming(harness, "host-1")) == [keys.rental_key(OWNER), keys.rental_key(ADOPTION)]
+    confirm_all_returns(harness)
     assert set(harness.cluster.machines) == {"host-2"}
-    assert not named(harness, "host-1") and not named(harness, "host-3")
+    assert not rentals_naming(harness, "host-1") and not rentals_naming(harness, "host-3")
 
 
 @pytest.mark.parametrize("saved", [False, True])
@@ -165,11 +163,11 @@
     harness.cluster.renting.rented(rental, ["host-1", "host-2"], harness.clock.now_us())
     while (batch := harness.cluster.write_queue.next_batch(1)) is not None:
         harness.cluster.write_queue.batch_committed(harness.state.txn(batch.guards, batch.writes))
-        values = [harness.state.value_of(key) for key in named(harness, "host-1")]
+        values = [harness.state.value_of(key) for key in rentals_naming(harness, "host-1")]
         assert saved <= any("host-1" in value["returning"] for value in values)
-    assert named(harness, "host-1") == [keys.rental_key(OWNER)]
-    return_all(harness)
-    assert not named(harness, "host-1") and set(harness.cluster.machines) == {"host-2"}
+    assert rentals_naming(harness, "host-1") == [keys.rental_key(OWNER)]
+    confirm_all_returns(harness)
+    assert not rentals_naming(harness, "host-1") and set(harness.cluster.machines) == {"host-2"}
 
 
 def test_names_in_an_answer_of_the_cloud_that_are_unknown_repeated_or_gone_lose_nothing_else(caplog):
@@ -178,14 +176,14 @@
         harness.report(name, 1)
     for name in ("host-1", "host-3"):
         harness.cluster.request_return(harness.cluster.machines[name], "the test has it returned")
-    returns(harness)
+    requested_returns(harness)
     harness.cluster.returned(["host-1", "host-1", "host-77", "host-2", "host-3"], harness.clock.now_us())
     harness.cluster.returned(["host-3"], harness.clock.now_us())
-    assert set(harness.cluster.machines) == {"host-2"}  # nobody asked for its return
-    told = [text for text in caplog.messages if "nobody requested it" in text]
-    assert len(told) == 2 and "host-77" in told[0] and "host-2" in told[1]
+    assert set(harness.cluster.machines) == {"host-2"}  # nobody requested its return
+    errors = [text for text in caplog.messages if "nobody requested it" in text]
+    assert len(errors) == 2 and "host-77" in errors[0] and "host-2" in errors[1]
     harness.commit()
-    assert not named(harness, "host-1") and not named(harness, "host-3")
+    assert not rentals_naming(harness, "host-1") and not rentals_naming(harness, "host-3")
 
 
 def test_names_in_the_answer_to_a_rental_that_are_repeated_lose_nothing_else(caplog):
@@ -200,7 +198,7 @@
 
 
 def test_a_list_of_the_cloud_that_names_machines_twice_counts_each_once():
-    """Of machines that fell together the names are on record until each is returned. One named twice stayed there."""
+    """The names of a mass failure's machines are stored until each is returned; one listed twice stayed stored."""
     harness = LeaderHarness()
     hosts = [f"host-{number}" for number in range(MASS_FAILURE_MACHINES + 1)]
     for host in hosts:
@@ -209,12 +207,12 @@
     harness.cluster.listed(listing, harness.clock.now_us())
     (mass_failure,) = harness.cluster.recovery.mass_failures.values()
     assert mass_failure.machines == len(hosts)
-    return_all(harness)
+    confirm_all_returns(harness)
     assert not harness.cluster.machines and not mass_failure.parts
     assert keys.fall_key(mass_failure.name, 1) not in harness.state.items
 
 
-# ---------------------------------------------------------------- what a standby follows
+# ---------------------------------------------------------------- replication by a standby
 
 HOSTS = ("host-1", "host-2")
 NAMES = (OWNER, "1-2", "adopted-host-1", "adopted-host-2")
