--- a/src/tideusher/core/decide/__init__.py
+++ b/src/tideusher/core/decide/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on the picture, one a file: order, places, stops, rentals, silence, what may start. Pure."""
+"""Decisions on the cluster state, one per module: order, placement, preemption, rentals, silence, starts. Pure."""
--- a/src/tideusher/core/decide/fleet.py
+++ b/src/tideusher/core/decide/fleet.py
@@ -1,4 +1,4 @@
-"""How many machines to rent, keep and return."""
+"""Decides how many machines to rent, to keep warm and to return."""
 
 import itertools
 from bisect import insort
@@ -16,18 +16,18 @@
 from tideusher.wire.cloud import MachineType
 from tideusher.wire.jobs import BATCH, SERVICE, JobSpec
 
-#: Beyond so many machines a plan looks no further: a few rentals of 50 go out at a time, and in a flood to plan for
-#: all that waits took a tenth of a second in each pass.
-MOST_PLANNED = 600
-#: For so many boots no ordinary machine is rented for what a team without a guarantee may run on cheap ones.
-GUEST_BOOTS = 4
-#: The load of the first moments is no rate yet.
-OPENING_US = 20 * SECOND_US
+#: Machines after which a plan ends: a few rentals of 50 go out at a time, and under heavy load planning for all
+#: waiting work took a tenth of a second in each pass.
+MAX_PLANNED = 600
+#: Boot times for which no ordinary machine is rented for work that a team without a guarantee may run on spot ones.
+SPOT_ONLY_BOOTS = 4
+#: The load of this first period is not yet a rate of arrivals.
+WARM_UP_US = 20 * SECOND_US
 
 
 @dataclass(frozen=True)
 class PlannedRental:
-    """A rental that the plan asks for."""
+    """A rental that the plan requests."""
 
     type: str
     zone: str
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Bin:
-    """Room that exists soon: a booting machine, one asked for, or one that the plan would rent."""
+    """Capacity that will exist soon: on a booting machine, a requested one, or one that the plan would rent."""
 
     type: str
     zone: str
@@ -47,31 +47,31 @@
     gpus: float
     ram: float
     reason: str = ""
-    soon: bool = False  # room of running work that should end before a new machine would be up
+    soon: bool = False  # capacity of running work that should end before a new machine would be up
 
     def allows(self, spec: JobSpec) -> bool:
-        """May this job's tasks run here?"""
+        """True if the job's tasks may run here."""
         return allowed_on(spec, self.type, self.zone, self.spot)
 
 
 class Bins:
-    """Bins in the order in which they are filled: spot first, then the fullest, then as they came.
+    """Bins in the order in which they are filled: spot first, then the fullest, then in order of insertion.
 
-    Kept sorted while requests take room from them, and without those that hold none of the requests
-    any more: sorting a whole fleet anew for each waiting job cost a leader a tenth of its processor.
+    Kept sorted while requests take capacity from them, and without bins too small for any request: sorting the
+    entire fleet again for each waiting job cost a leader a tenth of its processor time.
     """
 
     def __init__(self, bins: Iterable[Bin], least: Demand) -> None:
         self._least = least
-        self._came = itertools.count()
+        self._insertions = itertools.count()
         self._order: list[tuple[bool, float, int, Bin]] = []
         for bin in bins:
             if least.fits(bin.cpus, bin.gpus, bin.ram):
-                self._order.append((not bin.spot, bin.gpus, next(self._came), bin))
-        self._order.sort(key=_place)
+                self._order.append((not bin.spot, bin.gpus, next(self._insertions), bin))
+        self._order.sort(key=_sort_key)
 
     def fill(self, left: int, usable: Callable[[Bin], bool], take: Callable[[Bin], bool]) -> int:
-        """Offer the usable bins, each until `take` refuses it; returns how many found none."""
+        """Fill the usable bins, each until `take` refuses it; returns how many of `left` tasks found none."""
         touched: list[tuple[bool, float, int, Bin]] = []
         for entry in self._order:
             if not left:
@@ -87,25 +87,25 @@
         if touched:
             moved = {entry[2] for entry in touched}
             self._order = [entry for entry in self._order if entry[2] not in moved]
-            for spot, _, came, bin in touched:
-                self._insert(spot, came, bin)
+            for spot, _, inserted, bin in touched:
+                self._insert(spot, inserted, bin)
         return left
 
     def add(self, bin: Bin) -> None:
-        """A bin that is rented; what room it has left may serve later requests."""
-        self._insert(not bin.spot, next(self._came), bin)
+        """Add a rented bin, whose remaining capacity may serve later requests."""
+        self._insert(not bin.spot, next(self._insertions), bin)
 
-    def _insert(self, ordinary: bool, came: int, bin: Bin) -> None:
+    def _insert(self, ordinary: bool, inserted: int, bin: Bin) -> None:
         if self._least.fits(bin.cpus, bin.gpus, bin.ram):
-            insort(self._order, (ordinary, bin.gpus, came, bin), key=_place)
+            insort(self._order, (ordinary, bin.gpus, inserted, bin), key=_sort_key)
 
 
-def _place(entry: tuple[bool, float, int, Bin]) -> tuple[bool, float, int]:
+def _sort_key(entry: tuple[bool, float, int, Bin]) -> tuple[bool, float, int]:
     return entry[:3]
 
 
 class Fleet:
-    """Remembers refusals; plans from what the cluster holds."""
+    """Plans rentals and returns from the state of the cluster; remembers capacity refusals."""
 
     def __init__(
         self,
@@ -117,76 +117,76 @@
         is_guest: Callable[[str], bool] = lambda team: False,
     ) -> None:
         self._policy = policy
-        self._waits = {
+        self._wait_objectives = {
             o.job_class: to_us(o.within_s)
             for o in sorted(objectives, key=lambda o: -(o.within_s or 0))
             if o.kind == "wait" and o.job_class and o.within_s
         }
         self.types: dict[str, MachineType] = {} if types is None else types
         self.arrivals = arrivals or Arrivals()
-        self._refused: dict[tuple[str, str, bool], tuple[int, int]] = {}
+        self._backoffs: dict[tuple[str, str, bool], tuple[int, int]] = {}
         self.warm: list[tuple[JobSpec, int]] = []
         self._report_us = max(1, report_us)
-        self._is_guest = is_guest  # has this team no guarantee?
+        self._lacks_guarantee = is_guest  # returns True for a team without a guarantee
 
-    # What is remembered
+    # Capacity refusals
 
     def refused(self, kind: tuple[str, str, bool], now_us: int) -> None:
-        """The cloud has no capacity of this kind: back off, longer each time."""
-        _, times = self._refused.get(kind, (0, 0))
+        """Record that the cloud has no capacity of this kind; the back-off doubles, up to a limit."""
+        _, times = self._backoffs.get(kind, (0, 0))
         pause = to_us(self._policy.fleet__capacity_backoff_s) * (1 << min(times, 2))
-        self._refused[kind] = (now_us + pause, times + 1)
+        self._backoffs[kind] = (now_us + pause, times + 1)
 
     def refused_before(self, kind: tuple[str, str, bool], until_us: int, times: int) -> None:
-        """An earlier leader was refused; the back-off goes on where it was."""
-        self._refused.setdefault(kind, (until_us, times))
+        """Restore a refusal that an earlier leader received; its back-off continues."""
+        self._backoffs.setdefault(kind, (until_us, times))
 
     def refusals(self, now_us: int) -> list[tuple[tuple[str, str, bool], int, int]]:
-        """What is not asked for now: kind, for how long, after how many refusals; the longest first."""
-        left = [(kind, until_us - now_us, times) for kind, (until_us, times) in self._refused.items()]
-        return sorted((one for one in left if one[1] > 0), key=lambda one: (-one[1], one[0]))
+        """Returns the kinds in back-off: (kind, remaining microseconds, refusals), the longest first."""
+        left = [(kind, until_us - now_us, times) for kind, (until_us, times) in self._backoffs.items()]
+        return sorted((item for item in left if item[1] > 0), key=lambda item: (-item[1], item[0]))
 
     def granted(self, kind: tuple[str, str, bool]) -> None:
-        """The cloud had capacity of this kind."""
-        self._refused.pop(kind, None)
+        """Record that the cloud had capacity of this kind."""
+        self._backoffs.pop(kind, None)
 
     def available(self, kind: tuple[str, str, bool], now_us: int) -> bool:
-        """May this kind be asked for now?"""
-        return self._refused.get(kind, (0, 0))[0] <= now_us
+        """True if this kind is not in back-off."""
+        return self._backoffs.get(kind, (0, 0))[0] <= now_us
 
     def spot_available(self, spec: JobSpec, now_us: int) -> bool:
-        """Is there a spot machine to be had that this job may run on?"""
+        """True if a spot machine that this job may run on can be rented."""
         return any(
-            self._to_be_had(kind, spec, zone, True, now_us) for kind in self.types.values() for zone in kind.zones
+            self._can_rent(kind, spec, zone, True, now_us) for kind in self.types.values() for zone in kind.zones
         )
 
     def offer(self, spec: JobSpec, zone: str, now_us: int) -> int:
-        """What the zone has for the job to be rented: spot if it may use that, ordinary, or nothing now."""
+        """Returns what the zone can rent for the job now: BEST (its preferred kind), OTHER or NONE."""
         kinds = [kind for kind in self.types.values() if zone in kind.zones]
-        if spec.spot and any(self._to_be_had(kind, spec, zone, True, now_us) for kind in kinds):
+        if spec.spot and any(self._can_rent(kind, spec, zone, True, now_us) for kind in kinds):
             return BEST
-        if any(self._to_be_had(kind, spec, zone, False, now_us) for kind in kinds):
+        if any(self._can_rent(kind, spec, zone, False, now_us) for kind in kinds):
             return OTHER if spec.spot else BEST
         return NONE
 
-    def _to_be_had(self, kind: MachineType, spec: JobSpec, zone: str, spot: bool, now_us: int) -> bool:
+    def _can_rent(self, kind: MachineType, spec: JobSpec, zone: str, spot: bool, now_us: int) -> bool:
         return (
             allowed_on(spec, kind.name, zone, spot)
             and slots_in(kind.cpus, kind.gpus, kind.ram_gb, spec) > 0
             and self.available((kind.name, zone, spot), now_us)
         )
 
-    # Warm room
+    # Warm capacity
 
     def refresh_warm(self, now_us: int, used_gpus: float) -> None:
-        """Decide how much free room to keep, per class whose aim is faster than boot and fetch.
+        """Decide how much capacity to keep free for job classes whose objective is shorter than a boot and a fetch.
 
-        Idle machines cost money at all times for starts that come now and then: the whole is held to
-        a share of what is in use, the highest priority first.
+        Idle machines cost money all the time for starts that are rare, so the total is limited to a share of the
+        GPUs in use, given to the highest priority first.
         """
         budget = used_gpus * self._policy.fleet__warm_share
         self.warm = []
-        for spec, count in sorted(self._warm_wanted(now_us), key=lambda want: want[0].rank):
+        for spec, count in sorted(self._warm_wanted(now_us), key=lambda item: item[0].rank):
             if spec.gpus:
                 count = min(count, int(budget / spec.gpus))
                 budget -= count * spec.gpus
@@ -195,7 +195,7 @@
 
     def _warm_wanted(self, now_us: int) -> list[tuple[JobSpec, int]]:
         wanted = []
-        for job_class, within_us in self._waits.items():
+        for job_class, within_us in self._wait_objectives.items():
             spec = self.arrivals.spec_of(job_class)
             if spec is None or not self.types:
                 continue
@@ -206,10 +206,10 @@
             first_us = self.arrivals.first_us
             if fastest_us < within_us or first_us is None:
                 continue
-            # What was there at the start says nothing of the rate at which work comes.
-            since_us = max(now_us - to_us(self._policy.fleet__warm_window_s), first_us + OPENING_US)
+            # The work that was present at the start tells nothing about the arrival rate.
+            since_us = max(now_us - to_us(self._policy.fleet__warm_window_s), first_us + WARM_UP_US)
             window_us = now_us - since_us
-            if window_us < OPENING_US:
+            if window_us < WARM_UP_US:
                 continue
             sizes = self.arrivals.sizes(job_class, since_us)
             horizon = min(t.boot_s for t in usable) * 1.2 / to_s(window_us)
@@ -221,11 +221,11 @@
         return wanted
 
     def is_warm(self, job_class: str) -> bool:
-        """Does the warm room exist for this class?"""
+        """True if warm capacity is kept for this class."""
         return any(spec.job_class == job_class for spec, _ in self.warm)
 
     def reserve_gpus(self) -> float:
-        """GPUs on ordinary machines that only the warm classes may take."""
+        """Returns the GPUs on ordinary machines that only the classes with warm capacity may use."""
         return sum(spec.gpus * count for spec, count in self.warm if not spec.spot)
 
     # Plan
@@ -237,26 +237,26 @@
         machines: Iterable[Machine],
         asked: Iterable[tuple[str, str, bool, int]],
     ) -> list[PlannedRental]:
-        """What to rent so that unplaced tasks and warm room find a place."""
+        """Returns the rentals needed for unplaced tasks and warm capacity."""
         bins: list[Bin] = []
-        warm_room: list[Machine] = []
+        up_machines: list[Machine] = []
         population: dict[str, int] = {}
         for machine in machines:
             population[machine.zone] = population.get(machine.zone, 0) + 1
             if machine.drain_reason:
                 continue
             if machine.phase == BOOTING:
-                # One inherited that has yet to be heard may hold tasks: what they take may come free soon, as on any
-                # machine; nobody has told us yet for how long they run.
+                # An inherited machine that has not reported yet may hold tasks. Their capacity may become free soon,
+                # as on any machine, but how long they have run is not known yet.
                 free = (machine.free_cpus, machine.free_gpus, machine.free_ram_gb)
                 bins.append(Bin(machine.type, machine.zone, machine.spot, *free))
                 if machine.tasks:
                     held = (machine.cpus - free[0], machine.gpus - free[1], machine.ram_gb - free[2])
                     bins.append(Bin(machine.type, machine.zone, machine.spot, *held, soon=True))
             elif machine.phase == UP:
-                warm_room.append(machine)
+                up_machines.append(machine)
                 if not machine.reserved:
-                    bins += self._soon_room(machine, now_us)
+                    bins += self._capacity_soon(machine, now_us)
         for type_name, zone, spot, count in asked:
             kind = self.types.get(type_name)
             if kind is not None:
@@ -265,38 +265,50 @@
         boot_us = min((to_us(kind.boot_s) for kind in self.types.values()), default=0)
         patience_us = round(boot_us * self._policy.fleet__patience)
         rented: list[Bin] = []
-        nothing = RefusalCache()
-        offered = Bins(bins, Demand.least_of(request.job.spec for request in requests))
+        refusals_seen = RefusalCache()
+        candidates = Bins(bins, Demand.least_of(request.job.spec for request in requests))
         for request in requests:
             job, count = request.job, request.count - self._turnover(request.job, boot_us)
             if count <= 0:
                 continue
-            if len(rented) >= MOST_PLANNED:
-                break  # more is not asked for before these are answered
-            # Who has waited for a whole boot already is not put off with room that opens soon: others
-            # may have taken it each time.
+            if len(rented) >= MAX_PLANNED:
+                break  # no more is requested before these are answered
+            # A job that has already waited for a full boot is not deferred to capacity that becomes free soon: other
+            # jobs may have taken it each time.
             soon = now_us - job.seen_us < patience_us
             zone_use, limit = {request.zone: 0} if request.zone else job.zone_use(), job.zone_limit
-            # What a guest runs on cheap machines is not worth ordinary ones at four times the price, while others
-            # have it idle now and then: only when it has waited for several boots.
-            thrifty = self._is_guest(job.spec.team) and now_us - job.seen_us < GUEST_BOOTS * boot_us
-            asks = (placement_constraints(job.spec), request.zone, soon, thrifty)
-            if nothing.refuses(asks, job.spec, 1):
+            # Work of a team without a guarantee that may run on spot machines is not worth ordinary ones at four
+            # times the price while other teams leave them idle at times: only once it has waited for several boots.
+            spot_only = self._lacks_guarantee(job.spec.team) and now_us - job.seen_us < SPOT_ONLY_BOOTS * boot_us
+            request_kind = (placement_constraints(job.spec), request.zone, soon, spot_only)
+            if refusals_seen.refuses(request_kind, job.spec, 1):
                 continue
             before = len(rented)
             left = self._fit(
-                job.spec, count, offered, soon, zone_use, limit, population, now_us, "work waits", rented, thrifty
+                job.spec,
+                count,
+                candidates,
+                soon,
+                zone_use,
+                limit,
+                population,
+                now_us,
+                "work waits",
+                rented,
+                spot_only,
             )
             if len(rented) > before:
-                nothing.clear()  # what was rented may have room left
+                refusals_seen.clear()  # what was rented may have capacity left
             elif left == count and not job.live:
-                nothing.refused(asks, job.spec, 1)
+                refusals_seen.refused(request_kind, job.spec, 1)
         free_bins = [
-            Bin(m.type, m.zone, m.spot, m.free_cpus, m.free_gpus, m.free_ram_gb) for m in warm_room if not m.reserved
+            Bin(m.type, m.zone, m.spot, m.free_cpus, m.free_gpus, m.free_ram_gb)
+            for m in up_machines
+            if not m.reserved
         ]
-        offered = Bins([*free_bins, *bins, *rented], Demand.least_of(spec for spec, _ in self.warm))
+        candidates = Bins([*free_bins, *bins, *rented], Demand.least_of(spec for spec, _ in self.warm))
         for spec, count in self.warm:
-            self._fit(spec, count, offered, True, {}, None, population, now_us, "warm room", rented)
+            self._fit(spec, count, candidates, True, {}, None, population, now_us, "warm capacity", rented)
         counted: dict[tuple[str, str, bool, str], int] = {}
         for bin in rented:
             key = (bin.type, bin.zone, bin.spot, bin.reason)
@@ -304,24 +316,24 @@
         return [PlannedRental(t, z, s, n, why) for (t, z, s, why), n in counted.items()]
 
     def _turnover(self, job: Job, boot_us: int) -> int:
-        """How many of an array's tasks its present places will have done before a machine rented now is up.
+        """Returns how many tasks of an array its current places will finish before a machine rented now is up.
 
-        For 25,000 tasks of 4 s all that could be had was rented, and came up when the array was over.
+        Without this, every available machine was rented for 25,000 tasks of 4 s, and came up when the array was done.
         """
         if job.spec.shape != BATCH:
             return 0
         return len(job.live) * (boot_us // (to_us(job.spec.estimate_s) + self._report_us))
 
-    def _soon_room(self, machine: Machine, now_us: int) -> list[Bin]:
-        """The room that opens on a machine sooner than a new one could boot, if any does.
+    def _capacity_soon(self, machine: Machine, now_us: int) -> list[Bin]:
+        """Returns the capacity that becomes free on a machine before a new one could boot, if any.
 
-        A fetch under way closes the free room to other images only until it is over. Work that is
-        about to end leaves its room, and often the image: renting for every moment's queue would buy
-        machines that come up when the queue is gone.
+        A running image fetch blocks the free capacity for other images only until it is done. Work about to end
+        frees its capacity, and often leaves the image: renting for every momentary queue would buy machines that
+        come up when the queue is gone.
         """
         kind = self.types.get(machine.type)
         horizon_us = to_us(kind.boot_s * self._policy.fleet__patience) if kind else 0
-        room = [machine.free_cpus, machine.free_gpus, machine.free_ram_gb]
+        free = [machine.free_cpus, machine.free_gpus, machine.free_ram_gb]
         ending = False
         for task in machine.tasks.values():
             if task.running_us is None or task.job.is_service:
@@ -330,12 +342,12 @@
             estimate_us = to_us(task.job.spec.estimate_s)
             if max(estimate_us - run_us, estimate_us // 2) <= horizon_us:  # estimates are often low
                 ending = True
-                room[0] += task.job.spec.cpus
-                room[1] += task.job.spec.gpus
-                room[2] += task.job.spec.ram_gb
+                free[0] += task.job.spec.cpus
+                free[1] += task.job.spec.gpus
+                free[2] += task.job.spec.ram_gb
         if not ending and not machine.fetching:
             return []
-        cpus, gpus, ram = room
+        cpus, gpus, ram = free
         return [Bin(machine.type, machine.zone, machine.spot, cpus, gpus, ram, soon=ending)]
 
     def _fit(
@@ -350,9 +362,9 @@
         now_us: int,
         reason: str,
         rented: list[Bin],
-        thrifty: bool = False,
+        spot_only: bool = False,
     ) -> int:
-        """Find room for the tasks, rented where there is none; returns how many find none at all."""
+        """Assign the tasks to bins, renting machines where there are none; returns how many found no place."""
         one_zone = next(iter(zone_use), None) if spec.one_zone else None
         soon = soon and spec.shape != SERVICE  # replicas are wanted now, not when other work ends
 
@@ -372,7 +384,7 @@
 
         left = bins.fill(count, usable, take)
         while left:
-            bin = self._new_bin(spec, one_zone, zone_use, limit, population, now_us, thrifty)
+            bin = self._new_bin(spec, one_zone, zone_use, limit, population, now_us, spot_only)
             if bin is None:
                 return left
             bin.reason = reason
@@ -400,7 +412,7 @@
         limit: int | None,
         population: dict[str, int],
         now_us: int,
-        thrifty: bool,
+        spot_only: bool,
     ) -> Bin | None:
         best: tuple[tuple[bool, float, int, str], Bin] | None = None
         for kind in self.types.values():
@@ -414,7 +426,7 @@
                     continue
                 if limit is not None and zone_use.get(zone, 0) >= limit:
                     continue
-                for spot in ((True,) if thrifty else (True, False)) if spec.spot else (False,):
+                for spot in ((True,) if spot_only else (True, False)) if spec.spot else (False,):
                     if not self.available((kind.name, zone, spot), now_us):
                         continue
                     price = (kind.spot_price if spot else kind.price) / held
@@ -424,16 +436,16 @@
         return best[1] if best else None
 
     def unmet_without(self, source: Machine, machines: Sequence[Machine]) -> bool:
-        """Would moving this machine's tasks into the others' room leave too little warm room?"""
+        """True if moving this machine's tasks to the others would leave too little warm capacity."""
         rest = [m for m in machines if m is not source]
         moving: dict[str, tuple[JobSpec, int]] = {}
         for task in source.tasks.values():
             spec = task.job.spec
             moving[spec.id] = (spec, moving.get(spec.id, (spec, 0))[1] + 1)
-        return _unmet([*moving.values(), *self.warm], rest) > 0
+        return _unplaced_warm([*moving.values(), *self.warm], rest) > 0
 
     def surplus(self, now_us: int, machines: Sequence[Machine]) -> list[tuple[Machine, str]]:
-        """Idle machines to return, with the reason; warm room is kept."""
+        """Returns idle machines to return, with the reason; warm capacity is kept."""
         idle_us = to_us(self._policy.fleet__idle_s)
         kept = [m for m in machines if m.phase == UP and not m.drain_reason and not m.reserved]
         idle = [m for m in kept if not m.tasks and now_us - m.idle_since_us >= idle_us]
@@ -441,31 +453,33 @@
             return []
         least = Demand.least_of(spec for spec, _ in self.warm)
         warm = {m.name: m for m in kept if least.fits(m.free_cpus, m.free_gpus, m.free_ram_gb)}
-        unmet = _unmet(self.warm, warm.values())
-        out = []
+        unplaced = _unplaced_warm(self.warm, warm.values())
+        surplus_machines = []
         for machine in sorted(idle, key=lambda m: (not m.slow, m.spot, len(m.images), m.name)):
             rest = {name: m for name, m in warm.items() if m is not machine}
-            if _unmet(self.warm, rest.values()) > unmet:
+            if _unplaced_warm(self.warm, rest.values()) > unplaced:
                 continue
             warm = rest
-            idle_for_s = to_s(now_us - machine.idle_since_us)
-            out.append((machine, f"idle for {idle_for_s:.0f} s and not needed as warm room"))
-        return out
+            idle_s = to_s(now_us - machine.idle_since_us)
+            surplus_machines.append((machine, f"idle for {idle_s:.0f} s and not needed as warm capacity"))
+        return surplus_machines
 
 
-def _unmet(warm: Sequence[tuple[JobSpec, int]], machines: Iterable[Machine]) -> int:
-    """How many tasks of the warm room find no place in the free room of these machines."""
-    rooms = [(m, [m.free_cpus, m.free_gpus, m.free_ram_gb]) for m in sorted(machines, key=lambda m: not m.spot)]
-    missing = 0
+def _unplaced_warm(warm: Sequence[tuple[JobSpec, int]], machines: Iterable[Machine]) -> int:
+    """Returns how many tasks of the warm capacity do not fit in the free capacity of these machines."""
+    free_by_machine = [
+        (m, [m.free_cpus, m.free_gpus, m.free_ram_gb]) for m in sorted(machines, key=lambda m: not m.spot)
+    ]
+    unplaced_tasks = 0
     for spec, count in warm:
         left = count
-        for machine, room in rooms:
+        for machine, free in free_by_machine:
             if not machine.allows(spec):
                 continue
-            while left and slots_in(room[0], room[1], room[2], spec):
-                room[0] -= spec.cpus
-                room[1] -= spec.gpus
-                room[2] -= spec.ram_gb
+            while left and slots_in(free[0], free[1], free[2], spec):
+                free[0] -= spec.cpus
+                free[1] -= spec.gpus
+                free[2] -= spec.ram_gb
                 left -= 1
-        missing += left
-    return missing
+        unplaced_tasks += left
+    return unplaced_tasks
--- a/src/tideusher/core/decide/gang_reservations.py
+++ b/src/tideusher/core/decide/gang_reservations.py
@@ -1,15 +1,15 @@
-"""Room that is gathered for gangs which must start whole in one zone.
-
-A large gang never finds its room whole in a busy fleet: machines end their work one by one, and what
-is free goes to smaller work or is returned as idle while the next ones boot. So what is free in one
-zone is held for the first gang in the queue that wants it there, until the rest has come. Work that
-is ahead of the gang in the queue may still take it, and one gang a zone gathers at a time, or several
-would hold parts of a zone and none could start.
-
-What is free is not enough where small work is spread over all machines: a few tasks of one CPU keep a gang that
-needs whole machines off each of them, and others come as they end. So for the first gang that has waited long,
-machines that hold other work, or boot, are held too, those of the zone in which its room is together first; what runs
-there ends undisturbed, and only work of a higher rank may still come. One gang of the whole fleet at a time.
+"""Holds capacity for gangs that must start all their tasks at once in one zone.
+
+In a busy fleet a large gang never finds enough capacity at once: machines finish their work one by one, and free
+capacity goes to smaller jobs or is returned as idle while further machines boot. So free machines of a zone are held
+for the first gang in the queue that wants them there until the rest is available. Jobs ahead of the gang in the queue
+may still use them. Only one gang per zone holds machines at a time; otherwise several would hold parts of a zone and
+none could start.
+
+Free machines are not enough where small tasks are spread over all machines: a few one-CPU tasks block a gang that
+needs entire machines, and new ones arrive as they end. So for the first gang that has waited for long, machines that
+are booting or run other work are held too, in the zone that has enough capacity soonest. Work that runs there ends
+undisturbed, and only work of a higher rank may still be placed there. One gang of the entire fleet at a time.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -19,13 +19,13 @@
 from tideusher.core.decide.placement import slots, slots_in
 from tideusher.core.model.records import BOOTING, UP, Job, Machine
 
-#: What a zone offers a job: the kind of machine that it is best rented on, another, or none now.
+#: What a zone can rent for a job: the preferred kind of machine, another kind, or none now.
 BEST, OTHER, NONE = 0, 1, 2
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """Waiting tasks for which machines may have to be rented; `zone`: only there."""
+    """Waiting tasks for which machines may have to be rented; `zone`: only in this zone."""
 
     job: Job
     count: int
@@ -33,19 +33,19 @@
 
 
 class GangReservations:
-    """Which free machines are held for which gang; decided anew in each pass."""
+    """Tracks which machines are held for which gang; recomputed in each pass."""
 
     def __init__(self) -> None:
         self.held: dict[str, Job] = {}
-        self._free = _Free(())
-        self._first: tuple[Job, str] | None = None  # the gang for which machines in use are held, and the zone
+        self._free_machines = _FreeMachines(())
+        self._busy_hold: tuple[Job, str] | None = None  # the gang for which busy machines are held, and the zone
 
     def may_use(self, job: Job, machine: Machine, place: dict[str, int]) -> bool:
-        """Is the machine free to this job, given the places of jobs in the queue?"""
+        """True if the job may use the machine, given the positions of jobs in the queue."""
         holder = self.held.get(machine.name)
         if holder is None or holder is job:
             return True
-        if self._first is not None and holder is self._first[0]:
+        if self._busy_hold is not None and holder is self._busy_hold[0]:
             return job.spec.rank < holder.spec.rank
         return place[job.spec.id] < place.get(holder.spec.id, -1)
 
@@ -59,29 +59,29 @@
         now_us: int = 0,
         heard: Callable[[Machine], bool] = lambda machine: True,
     ) -> list[Request]:
-        """Hold what is free for gangs in the order of the queue; returns what is missing beyond that.
+        """Hold free machines for gangs in queue order; returns requests for the capacity still missing.
 
-        `long_us`: for how much longer than is patient a gang has waited; 0: it has not. `heard`: could the machine
-        be told to start something now?
+        `long_us`: by how much the wait of a gang exceeds the patience limit; 0: it does not. `heard`: returns True if
+        the machine could be told to start a task now.
         """
         self.held = {}
         if not unplaced:
-            self._first = None
+            self._busy_hold = None
             return []
-        requests, gathering = [], set()
+        requests, zones_held = [], set()
         machines = list(machines)
         outlook = _Outlook(machines)
         for name in self._hold_in_use(unplaced, [m for m in machines if heard(m)], long_us, now_us):
-            assert self._first is not None
-            self.held[name] = self._first[0]
-            gathering.add(self._first[1])
-        self._free = _Free(usable)
+            assert self._busy_hold is not None
+            self.held[name] = self._busy_hold[0]
+            zones_held.add(self._busy_hold[1])
+        self._free_machines = _FreeMachines(usable)
         for job, count in unplaced:
             if not (job.is_gang and job.spec.one_zone) or job.live:
                 requests.append(Request(job, count))
                 continue
-            if self._first is not None and job is self._first[0]:
-                zone: str | None = self._first[1]
+            if self._busy_hold is not None and job is self._busy_hold[0]:
+                zone: str | None = self._busy_hold[1]
                 free = [m for m in usable if self.held.get(m.name) is job and m.fits(job.spec)]
             else:
                 zone, free = self._best_zone(job, count, outlook, offer)
@@ -90,10 +90,10 @@
                 if missing <= 0:
                     break
                 missing -= slots(machine, job)
-                if zone not in gathering:
+                if zone not in zones_held:
                     self.held[machine.name] = job
             if zone is not None:
-                gathering.add(zone)
+                zones_held.add(zone)
             if missing > 0:
                 requests.append(Request(job, missing, zone))
         return requests
@@ -105,54 +105,62 @@
         long_us: Callable[[Job], int],
         now_us: int,
     ) -> list[str]:
-        """The machines that are held for the gang that has waited too long for the longest time, in use or not."""
-        waits = [
+        """Returns the machines, busy or not, held for the gang that exceeds the patience limit by the most."""
+        overdue = [
             (-long_us(job), job.spec.id, job, count)
             for job, count in unplaced
             if job.is_gang and job.spec.one_zone and not job.live and long_us(job) > 0
         ]
-        before, self._first = self._first, None
-        for _, _, job, count in sorted(waits, key=lambda one: (before is None or one[2] is not before[0], one[:2])):
+        before, self._busy_hold = self._busy_hold, None
+        for _, _, job, count in sorted(
+            overdue, key=lambda item: (before is None or item[2] is not before[0], item[:2])
+        ):
             zones: dict[str, list[tuple[int, str, int]]] = {}
             for machine in machines:
                 if machine.drain_reason or machine.phase not in (BOOTING, UP) or not machine.allows(job.spec):
                     continue
-                room = _once_idle(machine, job)
-                if room > 0:  # though stops were made there for another: that is over soon
-                    zones.setdefault(machine.zone, []).append((_busy_us(machine, now_us), machine.name, room))
+                slots_when_idle = _slots_once_idle(machine, job)
+                if slots_when_idle > 0:  # even if reserved after a preemption: that ends soon
+                    zones.setdefault(machine.zone, []).append(
+                        (_busy_us(machine, now_us), machine.name, slots_when_idle)
+                    )
             chosen: dict[str, tuple[int, list[str]]] = {}
             for zone, free in zones.items():
                 left, names = count, []
-                for busy_us, name, room in sorted(free):
+                for busy_us, name, slots_when_idle in sorted(free):
                     names.append(name)
-                    left -= room
+                    left -= slots_when_idle
                     if left <= 0:
                         chosen[zone] = busy_us, names
                         break
             if chosen:
-                # The zone that was begun with is gone on with: what ended there for this gang did not end elsewhere.
-                begun = before[1] if before is not None and before[0] is job else ""
-                zone = begun if begun in chosen else min(chosen, key=lambda one: (chosen[one][0], one))
-                self._first = job, zone
+                # Keep the zone chosen earlier: work that has ended there for this gang has not ended elsewhere.
+                earlier_zone = before[1] if before is not None and before[0] is job else ""
+                zone = (
+                    earlier_zone if earlier_zone in chosen else min(chosen, key=lambda item: (chosen[item][0], item))
+                )
+                self._busy_hold = job, zone
                 return chosen[zone][1]
         return []
 
     def _best_zone(
         self, job: Job, count: int, outlook: "_Outlook", offer: Callable[[Job, str], int]
     ) -> tuple[str | None, list[Machine]]:
-        """The zone that has most of the room now or soon, of those that can ever hold the whole gang."""
-        booting, ever = outlook.of(job)
-        free, open_slots = self._free.of(job, self.held)
-        near = {zone: booting.get(zone, 0) + open_slots.get(zone, 0) for zone in booting.keys() | open_slots.keys()}
-        if not near:
-            return None, []  # nothing is there yet: rent wherever it is best
+        """Returns the zone with the most capacity now or soon, of those that can ever hold the entire gang."""
+        booting, slots_eventually = outlook.of(job)
+        free, open_slots = self._free_machines.of(job, self.held)
+        slots_soon = {
+            zone: booting.get(zone, 0) + open_slots.get(zone, 0) for zone in booting.keys() | open_slots.keys()
+        }
+        if not slots_soon:
+            return None, []  # no capacity anywhere yet: rent wherever it is best
 
         def rank(zone: str) -> tuple[bool, bool, int, str]:
-            offered, held = offer(job, zone), near.get(zone, 0)
-            possible = offered < NONE or ever.get(zone, 0) >= count
+            offered, held = offer(job, zone), slots_soon.get(zone, 0)
+            possible = offered < NONE or slots_eventually.get(zone, 0) >= count
             return not possible, held < count and offered > BEST, -min(count, held), zone
 
-        best = min(ever.keys() | near.keys(), key=rank)
+        best = min(slots_eventually.keys() | slots_soon.keys(), key=rank)
         return best, free.get(best, [])
 
 
@@ -161,10 +169,10 @@
     return (spec.cpus, spec.gpus, spec.ram_gb, spec.spot, spec.zone, tuple(spec.types or ()))
 
 
-class _Free:
-    """Machines with room for a kind of gang that nobody holds, by zone, and how many of its tasks they take.
+class _FreeMachines:
+    """Caches the machines that no gang holds and that fit a gang's tasks, by zone, and how many tasks they fit.
 
-    Looked at once for all gangs that ask for the same, until more is held.
+    Computed once for all gangs with the same demand, until more machines are held.
     """
 
     def __init__(self, usable: Sequence[Machine]) -> None:
@@ -174,7 +182,7 @@
         self._known: dict[tuple[object, ...], tuple[dict[str, list[Machine]], dict[str, int]]] = {}
 
     def of(self, job: Job, held: Mapping[str, Job]) -> tuple[dict[str, list[Machine]], dict[str, int]]:
-        """As things are with these machines held."""
+        """Returns machines and slots by zone, given the held machines."""
         if len(held) != self._held:
             self._held = len(held)
             self._known.clear()
@@ -197,9 +205,9 @@
 
 
 class _Outlook:
-    """How much of a kind of gang each zone has booting, and could ever hold.
+    """Computes how many tasks of a gang each zone has booting capacity for, and could ever hold.
 
-    The gangs of a class ask for the same, so one look at the fleet serves all of them in a pass.
+    Gangs of a class have the same demand, so one scan of the fleet serves all of them in a pass.
     """
 
     def __init__(self, machines: Iterable[Machine]) -> None:
@@ -207,24 +215,26 @@
         self._known: dict[tuple[object, ...], tuple[dict[str, int], dict[str, int]]] = {}
 
     def of(self, job: Job) -> tuple[dict[str, int], dict[str, int]]:
-        """Slots by zone on booting machines, and when all work that ends by itself has ended."""
+        """Returns slots by zone: on booting machines, and once all work that ends by itself has ended."""
         spec = job.spec
         key = _shape(job)
         if key not in self._known:
             booting: dict[str, int] = {}
-            ever: dict[str, int] = {}
+            slots_eventually: dict[str, int] = {}
             for machine in self._machines:
                 if not machine.allows(spec):
                     continue
                 if machine.phase == BOOTING:
                     booting[machine.zone] = booting.get(machine.zone, 0) + slots(machine, job)
-                ever[machine.zone] = ever.get(machine.zone, 0) + _once_idle(machine, job)
-            self._known[key] = booting, ever
+                slots_eventually[machine.zone] = slots_eventually.get(machine.zone, 0) + _slots_once_idle(
+                    machine, job
+                )
+            self._known[key] = booting, slots_eventually
         return self._known[key]
 
 
 def _busy_us(machine: Machine, now_us: int) -> int:
-    """How long until all its work that ends by itself has ended, by what its owners expect."""
+    """Returns how long until all its work that ends by itself has ended, by the users' estimates."""
     longest = 0
     for task in machine.tasks.values():
         if not task.job.is_service:
@@ -233,8 +243,8 @@
     return longest
 
 
-def _once_idle(machine: Machine, job: Job) -> int:
-    """How many tasks of the job the machine will hold when all its work that ends by itself has ended."""
+def _slots_once_idle(machine: Machine, job: Job) -> int:
+    """Returns how many tasks of the job the machine holds once all its work that ends by itself has ended."""
     services = [task.job.spec for task in machine.tasks.values() if task.job.is_service]
     if not services:
         return slots_in(machine.cpus, machine.gpus, machine.ram_gb, job.spec)
--- a/src/tideusher/core/decide/health.py
+++ b/src/tideusher/core/decide/health.py
@@ -1,4 +1,4 @@
-"""Which machines have gone silent, were taken, or never came up. What the silence of many means: `falls`."""
+"""Finds machines that have gone silent, were reclaimed or never came up. See `mass_failures` for many at once."""
 
 from tideusher.clock import to_s, to_us
 from tideusher.config import Config, Policy
@@ -10,7 +10,7 @@
 
 
 class Health:
-    """Judges silence. Nothing is freed for it: a machine found dead is returned, and that is the proof."""
+    """Detects silent machines. Silence frees nothing: a machine found dead is returned, and that is the proof."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         self._config, self._policy, self._machines, self._fleet = config, policy, machines, fleet
         self._began_us = now_us
         self.boots = Boots(fleet.types, policy.fleet__boot_patience)
-        self._surveyed_us = now_us  # when the cloud's list came last
+        self._listing_received_us = now_us  # when the cloud's list last arrived
         self._zones = zones or ZoneContacts(to_us(config.settings.workers.report_s))
         self._silence_us = max(
             to_us(policy.fleet__silence_reports * config.settings.workers.report_s),
@@ -33,64 +33,64 @@
         self._settle_us = to_us(config.settings.workers.lease_s)
 
     def is_suspect(self, machine: Machine, now_us: int) -> bool:
-        """Has this machine been silent for so long that it should be probed?
+        """True if this machine has been silent for so long that it should be probed.
 
-        After a change of leader a machine that some controller told of counts from when it was heard there;
-        of others, one that the cloud lists as running counts from our election: its silence before that says
-        nothing. Right after a cut every machine of the zone has been
-        silent for long, and the first to be heard again says nothing of the others: silence counts
-        from when the zone was heard.
+        After a change of leader the silence of a machine that some controller reported counts from its contact with
+        that controller. Of the other machines, one that the cloud lists as running counts from this leader's
+        election, because earlier silence proves nothing. Right after a partition every machine of the zone has been
+        silent for long, and the first one back in contact tells nothing about the others, so silence counts from when
+        the zone was back in contact.
         """
-        heard_us = self._zones.since_us(machine.zone, now_us)
+        zone_contact_us = self._zones.since_us(machine.zone, now_us)
         if machine.phase == UP:
-            return now_us - max(machine.last_contact_us, heard_us) > self._silence_us
+            return now_us - max(machine.last_contact_us, zone_contact_us) > self._silence_us
         if machine.phase == BOOTING and machine.seen_us:
-            return now_us - max(machine.seen_us, heard_us) > self._silence_us
+            return now_us - max(machine.seen_us, zone_contact_us) > self._silence_us
         if machine.phase == BOOTING and machine.inherited and self._should_be_up(machine):
-            return now_us - max(self._began_us, heard_us) > self._settle_us
+            return now_us - max(self._began_us, zone_contact_us) > self._settle_us
         return False
 
     def boot_us(self, machine: Machine) -> int:
-        """How long one like it takes to boot, as its type says."""
+        """Returns the boot time that the machine's type states."""
         kind = self._fleet.types.get(machine.type)
         return to_us(kind.boot_s) if kind is not None else 0
 
     def listing_received(self, now_us: int) -> None:
-        """The cloud's list has come."""
-        self._surveyed_us = now_us
+        """Record that the cloud's list arrived."""
+        self._listing_received_us = now_us
 
     def _should_be_up(self, machine: Machine) -> bool:
-        """Is an inherited machine more than one that still boots?
+        """True if an inherited machine can no longer be booting.
 
-        The cloud says so, or it lists the machine no more. A list is older than its arrival by at most
-        twice its lag: one that describes a time after our election, and leaves out a machine rented
-        before, says that the machine was taken while nobody led. Its tasks once waited for 90 s, until
-        it should have booted.
+        Either the cloud lists it as running, or no longer lists it. A list is older than its arrival by at most twice
+        its lag. One that describes a time after this leader's election and omits a machine rented before it shows
+        that the machine was reclaimed while there was no leader. Without this its tasks waited for 90 s, until it
+        should have booted.
         """
         if machine.listed:
             return machine.listed == cloud.UP
-        return self._surveyed_us - self._began_us > to_us(2 * self._config.settings.cloud.list_lag_s)
+        return self._listing_received_us - self._began_us > to_us(2 * self._config.settings.cloud.list_lag_s)
 
     def silent_us(self, machine: Machine, now_us: int) -> int:
-        """For how long nobody has heard it; of one that nobody told us of, since our election."""
+        """Returns how long no controller has heard it; without any known contact, the time since our election."""
         return now_us - (machine.last_us or self._began_us)
 
     def silence(self, machine: Machine, now_us: int) -> str:
-        """How long it has been silent, in words; one inherited may never have reported to this leader."""
+        """Describes how long it has been silent; an inherited machine may never have reported to this leader."""
         if last_us := machine.last_us:
             return f"silent for {to_s(now_us - last_us):.0f} s"
         return f"not heard in the {to_s(now_us - self._began_us):.0f} s of this leadership"
 
     def suspects(self, now_us: int) -> list[Machine]:
-        """All machines that have been silent for long. A pass over the fleet: for ticks, not reports."""
+        """Returns all machines that have been silent for long. Scans the fleet: call it on ticks, not on reports."""
         return [machine for machine in self._machines.values() if self.is_suspect(machine, now_us)]
 
     def heard(self, zone: str, now_us: int) -> None:
-        """A machine of the zone has reported."""
+        """Record that a machine of the zone has reported."""
         self._zones.heard(zone, now_us)
 
     def taken(self, now_us: int) -> list[Machine]:
-        """Machines whose notice has run out and that are silent since: the cloud has them."""
+        """Returns machines that are silent since their notice ran out: the cloud has reclaimed them."""
         silence_us = to_us(1.5 * self._config.settings.workers.report_s)
         return [
             m
@@ -102,5 +102,5 @@
         ]
 
     def overdue(self, now_us: int) -> list[Machine]:
-        """Machines that will not come up any more, as far as boots of their kind tell."""
+        """Returns machines that will not come up, judging by the boots of their kind."""
         return self.boots.overdue(self._machines.values(), self._began_us, now_us)
--- a/src/tideusher/core/decide/limits.py
+++ b/src/tideusher/core/decide/limits.py
@@ -1,10 +1,9 @@
-"""Tasks that run longer than their job allows are stopped for good (`limit_s`).
+"""Stops tasks that run longer than their job allows (`limit_s`); they are not started again.
 
-Judged by what a worker says, never by the clock alone: a task is over its limit if the second report
-that came after the limit's end still lists it (the first may have been on its way since before). While
-a machine is silent nothing is judged, so a task that ended in time is never called late because its
-news was. When a task first ran is in the job's record:
-a new leader gives it no time anew.
+The decision rests on worker reports, never on the clock alone: a task is over its limit if the second report received
+after the limit expired still lists it (the first may have been sent before). Nothing is decided while a machine is
+silent, so a task that ended in time is never counted as late because its report was. The time of a task's first run
+is in the job's record, so a new leader does not restart the limit.
 """
 
 import heapq
@@ -17,54 +16,54 @@
 
 
 class Tasks(Protocol):
-    """What this needs of the leader's picture."""
+    """The part of the leader's state used here."""
 
     wall_us: Callable[[], int]
 
     def touch_chunk(self, job: Job, index: int, effect: None = None, urgent: bool = True) -> None:
-        """The record that holds this task is to be written."""
+        """Queue the record that holds this task for writing."""
 
     def enforce_limit(self, task: Task) -> None:
-        """Stop it for good."""
+        """Stop a task that is over its limit and do not start it again."""
 
 
 class Limits:
-    """Owns the ends of running tasks' limits, the next first."""
+    """Owns the times at which the limits of running tasks expire, the next first."""
 
     def __init__(self, cluster: Tasks) -> None:
         self._c = cluster
-        self._numbers = itertools.count()
-        self._ends: list[tuple[int, int, Task]] = []
-        self._first: dict[Task, int] = {}  # number of the first report after the end
+        self._sequence = itertools.count()
+        self._expirations: list[tuple[int, int, Task]] = []
+        self._first_serial: dict[Task, int] = {}  # serial of the first report after the limit expired
 
     def began(self, task: Task, now_us: int) -> None:
-        """The task runs; `running_us` and, from now on, its place in the record say since when."""
+        """Start the limit of a running task; its start is in `running_us` and, from now on, in its record."""
         limit_s = task.job.spec.limit_s
         if limit_s is None or task.running_us is None:
             return
         since_us = self._c.wall_us() - task.job.submitted_us
-        if task.began_s:  # an earlier leader saw it begin
+        if task.began_s:  # an earlier leader recorded its start
             task.running_us = min(now_us, now_us - (since_us - task.began_s * SECOND_US))
         else:
             task.began_s = max(1, since_us // SECOND_US)
             self._c.touch_chunk(task.job, task.index, urgent=False)
-        heapq.heappush(self._ends, (task.running_us + to_us(limit_s), next(self._numbers), task))
+        heapq.heappush(self._expirations, (task.running_us + to_us(limit_s), next(self._sequence), task))
 
     def step(self, now_us: int) -> None:
-        """Stop what a report newer than its limit's end still lists."""
+        """Stop the tasks that the second report after the end of their limit still lists."""
         waiting = []
-        while self._ends and self._ends[0][0] <= now_us:
-            end_us, number, task = heapq.heappop(self._ends)
+        while self._expirations and self._expirations[0][0] <= now_us:
+            expires_us, number, task = heapq.heappop(self._expirations)
             machine = task.machine
-            first = self._first.get(task)
+            first_serial = self._first_serial.get(task)
             if task.job.live.get(task.index) is not task:
-                self._first.pop(task, None)
-            elif first is not None and machine.serial != first:
-                del self._first[task]
+                self._first_serial.pop(task, None)
+            elif first_serial is not None and machine.serial != first_serial:
+                del self._first_serial[task]
                 self._c.enforce_limit(task)
             else:
-                waiting.append((end_us, number, task))
-                if first is None and machine.last_contact_us > end_us:
-                    self._first[task] = machine.serial
-        for one in waiting:
-            heapq.heappush(self._ends, one)
+                waiting.append((expires_us, number, task))
+                if first_serial is None and machine.last_contact_us > expires_us:
+                    self._first_serial[task] = machine.serial
+        for entry in waiting:
+            heapq.heappush(self._expirations, entry)
--- a/src/tideusher/core/decide/pass_failures.py
+++ b/src/tideusher/core/decide/pass_failures.py
@@ -1,10 +1,10 @@
-"""What a leader does after a pass, or a message's handler, that ended with an exception. Pure.
+"""Decides how a leader continues after a pass or a message handler raised an exception. Pure.
 
-Its picture may be half changed then, and what comes next would mostly fail in the same place: a leader once led on
-for five seconds and placed nothing, another kept machines that were gone. So the term ends. The next one, under a new
-token, reads the records anew. What it failed on (a job, the report of a machine, a name in an answer) is set aside
-for a while, twice as long each time, so that it neither stops the others nor ends one term after another. A leader
-that fails again and again all the same leaves the leadership to another.
+The leader's state may be half changed then, and whatever follows would mostly fail in the same place: one leader
+continued for five seconds and placed nothing, another kept machines that were gone. So the term ends, and the next
+one, under a new token, rebuilds the state from the records. The cause (a job, the report of a machine, a name in an
+answer) is quarantined for a time that doubles with each failure, so that it neither blocks other work nor ends one
+term after another. A leader that keeps failing nevertheless gives the leadership to another controller.
 """
 
 from collections.abc import Callable
@@ -14,9 +14,9 @@
 
 from tideusher.clock import SECOND_US
 
-#: So many failures within this time are too many.
+#: The number of failures within this window after which the leader steps down.
 WINDOW_US, MOST = 30 * SECOND_US, 3
-#: A job or an input is set aside for the first of these, doubled with each time up to the last.
+#: How long a job or an input is quarantined: the first time, and the limit of the doubling.
 FIRST_PAUSE_US, LAST_PAUSE_US = 30 * SECOND_US, 3600 * SECOND_US
 
 
@@ -24,7 +24,7 @@
 
 
 class PassFailed(Exception):
-    """A pass ended with an exception while it placed this job; the exception is its cause."""
+    """A pass raised an exception while placing this job; the exception is the cause."""
 
     def __init__(self, job: str) -> None:
         super().__init__(f"the pass failed on {job}")
@@ -32,23 +32,23 @@
 
 
 class InputFailed(Exception):
-    """What came from outside could not be taken in whole; the exception that said so is its cause."""
+    """An external input could not be applied completely; the exception raised is the cause."""
 
     def __init__(self, subject: str) -> None:
-        super().__init__(f"could not take in the {subject}")
+        super().__init__(f"could not apply the {subject}")
         self.subject = subject
 
 
 class Remedy(Enum):
-    """How the leadership goes on."""
+    """How the leadership continues."""
 
-    REBUILD = auto()  # under a new token, on the records
+    REBUILD = auto()  # under a new token, from the records
     STEP_DOWN = auto()  # another controller leads
 
 
 @dataclass(slots=True)
-class SetAside:
-    """A job or an input that is left alone until then."""
+class Quarantine:
+    """The quarantine of a job or an input."""
 
     until_us: int
     times: int = 1
@@ -56,29 +56,29 @@
 
 @dataclass(slots=True)
 class PassFailures:
-    """What failed in this process, whichever term it was in."""
+    """The failures in this process, across terms."""
 
-    jobs: dict[str, SetAside] = field(default_factory=dict)
-    inputs: dict[str, SetAside] = field(default_factory=dict)
+    jobs: dict[str, Quarantine] = field(default_factory=dict)
+    inputs: dict[str, Quarantine] = field(default_factory=dict)
     _failed_us: list[int] = field(default_factory=list)
 
     def failed(self, error: BaseException, now_us: int) -> Remedy:
-        """A pass, a takeover or a message ended with this."""
+        """Record that a pass, a takeover or a message handler raised `error`; returns how to continue."""
         if isinstance(error, PassFailed):
-            _set_aside(self.jobs, error.job, now_us)
+            _quarantine(self.jobs, error.job, now_us)
             return Remedy.REBUILD
         if isinstance(error, InputFailed):
-            _set_aside(self.inputs, error.subject, now_us)
+            _quarantine(self.inputs, error.subject, now_us)
         self._failed_us = [at_us for at_us in self._failed_us if now_us - at_us < WINDOW_US] + [now_us]
         return Remedy.STEP_DOWN if len(self._failed_us) >= MOST else Remedy.REBUILD
 
     def is_quarantined(self, name: str, now_us: int) -> bool:
-        """Is the job or input left alone for now?"""
-        known = self.jobs.get(name) or self.inputs.get(name)
-        return known is not None and now_us < known.until_us
+        """True if the job or input is quarantined at this time."""
+        quarantine = self.jobs.get(name) or self.inputs.get(name)
+        return quarantine is not None and now_us < quarantine.until_us
 
     def apply_input(self, subject: str, now_us: int, change: Callable[[], T]) -> T | None:
-        """Carry out what an input changes; None, with nothing changed, if it is set aside. Raises InputFailed."""
+        """Apply the change of an input; returns None without applying it if it is quarantined. Raises InputFailed."""
         if self.inputs and self.is_quarantined(subject, now_us):
             return None
         try:
@@ -87,8 +87,8 @@
             raise InputFailed(subject) from error
 
 
-def _set_aside(those: dict[str, SetAside], name: str, now_us: int) -> None:
-    before = those.get(name)
-    times = before.times + 1 if before is not None else 1
+def _quarantine(quarantined: dict[str, Quarantine], name: str, now_us: int) -> None:
+    previous = quarantined.get(name)
+    times = previous.times + 1 if previous is not None else 1
     pause_us = min(LAST_PAUSE_US, FIRST_PAUSE_US << (times - 1))
-    those[name] = SetAside(now_us + pause_us, times)
+    quarantined[name] = Quarantine(now_us + pause_us, times)
--- a/src/tideusher/core/decide/preempt.py
+++ b/src/tideusher/core/decide/preempt.py
@@ -1,9 +1,9 @@
-"""Which tasks are stopped to make room for a request.
+"""Chooses the tasks to preempt for a request.
 
-The design: unprotected work is stopped for a team whose ratio is lower by the margin; zero-runtime
-work is free, any funded request may stop it. The protocol bounds this: a stop needs a higher rank, or
-a team claiming its guarantee from another that runs beyond its own. Both must agree. The fewest tasks
-stop, and a gang stops whole.
+The design: unprotected work is preempted for a team whose ratio is lower by the margin; work without a minimum
+runtime is free, any funded request may preempt it. The protocol bounds this: a preemption needs a higher rank, or a
+team claiming its guarantee from another that runs beyond its own. Both must agree. As few tasks as possible stop, and
+a gang stops entirely or not at all.
 """
 
 from collections.abc import Callable, Iterable, Sequence, Set
@@ -17,17 +17,17 @@
 
 @dataclass(frozen=True)
 class TeamStanding:
-    """What the rules need to know of a team at this moment."""
+    """The state of a team that the preemption rules depend on."""
 
     ratio: float
-    within_guarantee: bool  # its present use, the request included where it is the asking team
+    within_guarantee: bool  # by its current use, plus the request if it is the requesting team
 
 
 def protected_until_us(task: Task, min_run_us: int, stagger: float) -> int:
-    """When the task's protection ends.
+    """Returns when the task's protection ends.
 
-    Windows that began in one burst would expire together and release one wave of stops, so each
-    job's window is stretched by its own fixed share of up to `stagger`.
+    Protection windows that began in one burst would expire together and allow one wave of preemptions, so each job's
+    window is lengthened by its own fixed fraction of up to `stagger`.
     """
     if not min_run_us:
         return 0
@@ -37,52 +37,54 @@
 
 
 class PreemptibleTasks:
-    """Which tasks may be stopped for which request, as long as nothing is stopped.
+    """Caches which tasks may be preempted for which request, until a task is stopped.
 
-    Every waiting request asks this of every job that runs. What does not depend on the request is judged
-    once, and requests of the same standing and rank share an answer: judged anew for each, it was most of
-    what a pass cost when many waited.
+    Every waiting request is checked against every running job. What does not depend on the request is computed once,
+    and requests of the same team state and rank share a result: computed for each request, it was most of the cost
+    of a pass with many waiting.
     """
 
     def __init__(
         self,
         jobs: Iterable[Job],
-        standing: Callable[[str], TeamStanding],
+        team_state: Callable[[str], TeamStanding],
         min_run_us: Callable[[Job], int],
         policy: Policy,
         now_us: int,
     ) -> None:
-        self._jobs, self._standing, self._min_run_us = jobs, standing, min_run_us
+        self._jobs, self._team_state, self._min_run_us = jobs, team_state, min_run_us
         self._policy, self._now_us = policy, now_us
         self.changed()
 
     def changed(self) -> None:
-        """Something was stopped: all is judged anew."""
-        self._open: list[tuple[Job, bool, list[Task]]] | None = None
-        self._holding: dict[str, TeamStanding] = {}
-        self._known: dict[tuple[str, int, TeamStanding], set[Task]] = {}
-        self._sets: dict[tuple[int, ...], set[Task]] = {}  # by the jobs: others who stand differently may share it
-
-    def of(self, request: Job, asking: TeamStanding) -> set[Task]:
-        """Every task that may be stopped for the request of a team that stands so; of a gang all or none."""
+        """Discard all results because a task was stopped."""
+        self._unprotected_jobs: list[tuple[Job, bool, list[Task]]] | None = None
+        self._team_states: dict[str, TeamStanding] = {}
+        self._cache: dict[tuple[str, int, TeamStanding], set[Task]] = {}
+        self._victim_sets: dict[tuple[int, ...], set[Task]] = {}  # by job numbers; shared between team states
+
+    def of(self, request: Job, requesting: TeamStanding) -> set[Task]:
+        """Returns the tasks that may be preempted for a request, given its team's state; of a gang all or none."""
         if not self._min_run_us(request):
-            return set()  # only funded requests stop anything
-        key = (request.spec.team, request.spec.rank, asking)
-        if key not in self._known:
+            return set()  # only funded requests preempt anything
+        key = (request.spec.team, request.spec.rank, requesting)
+        if key not in self._cache:
             rows = self._unprotected()
             claimed = tuple(
-                number for number, (job, free, _) in enumerate(rows) if self._may_claim(request, asking, job, free)
+                number
+                for number, (job, no_protection, _) in enumerate(rows)
+                if self._may_claim(request, requesting, job, no_protection)
             )
-            if claimed not in self._sets:
-                self._sets[claimed] = {task for number in claimed for task in rows[number][2]}
-            self._known[key] = self._sets[claimed]
-        # A job never makes way for itself, nor for another of its team and rank.
-        return self._known[key]
+            if claimed not in self._victim_sets:
+                self._victim_sets[claimed] = {task for number in claimed for task in rows[number][2]}
+            self._cache[key] = self._victim_sets[claimed]
+        # A job is never preempted for itself, nor for another of its team and rank.
+        return self._cache[key]
 
     def _unprotected(self) -> list[tuple[Job, bool, list[Task]]]:
-        """Jobs with tasks past their protected time, and whether they never had any."""
-        if self._open is None:
-            self._open = []
+        """Returns (job, whether it has no protected time, tasks past their protected time)."""
+        if self._unprotected_jobs is None:
+            self._unprotected_jobs = []
             for job in self._jobs:
                 minimum_us = self._min_run_us(job) if job.live else 0
                 tasks = [
@@ -93,39 +95,39 @@
                     and protected_until_us(task, minimum_us, self._policy.preempt__stagger) <= self._now_us
                 ]
                 if tasks and (not job.is_gang or len(tasks) == len(job.live)):
-                    self._open.append((job, not minimum_us, tasks))
-        return self._open
+                    self._unprotected_jobs.append((job, not minimum_us, tasks))
+        return self._unprotected_jobs
 
-    def _may_claim(self, request: Job, asking: TeamStanding, job: Job, free: bool) -> bool:
-        """Do the design's rule and the protocol's bounds allow stopping this job?"""
+    def _may_claim(self, request: Job, requesting: TeamStanding, job: Job, no_protection: bool) -> bool:
+        """True if the design's rule and the protocol's bounds both allow preempting this job."""
         team = job.spec.team
-        holding = self._holding.get(team)
-        if holding is None:
-            holding = self._holding[team] = self._standing(team)
+        holder = self._team_states.get(team)
+        if holder is None:
+            holder = self._team_states[team] = self._team_state(team)
         higher = request.spec.rank < job.spec.rank
-        claims = request.spec.team != team and asking.within_guarantee and not holding.within_guarantee
+        claims = request.spec.team != team and requesting.within_guarantee and not holder.within_guarantee
         if not (higher or claims):
             return False
-        return free or asking.ratio + self._policy.margin <= holding.ratio
+        return no_protection or requesting.ratio + self._policy.margin <= holder.ratio
 
 
 def capacity_after_stops(machines: Sequence[Machine]) -> dict[str, list[float]]:
-    """Per machine with tasks on their way out: the room there will be once they are gone."""
-    rooms = {}
+    """Returns, for machines with tasks being stopped, the free capacity once those are gone."""
+    free_by_machine = {}
     for machine in machines:
         halted = [task.job.spec for task in machine.tasks.values() if task.halt_grace_s is not None]
         if halted:
-            rooms[machine.name] = [
+            free_by_machine[machine.name] = [
                 machine.free_cpus + sum(spec.cpus for spec in halted),
                 machine.free_gpus + sum(spec.gpus for spec in halted),
                 machine.free_ram_gb + sum(spec.ram_gb for spec in halted),
             ]
-    return rooms
+    return free_by_machine
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """What would have to stop for a request to have a place on a machine."""
+    """The tasks that would have to stop for a request to fit on a machine."""
 
     machine: Machine
     tasks: list[Task]
@@ -133,30 +135,30 @@
 
 
 class Offers:
-    """Offers of all machines, the fewest stops first, as long as nothing is stopped.
+    """Caches the offers of all machines, the fewest stops first, until a task is stopped.
 
-    What a machine would cost hangs on what a task of the request takes and on what may be stopped for it,
-    which many waiting requests have in common; looked at for each, it was four fifths of a pass.
+    The cost of a machine depends on the demand of one task and on what may be preempted for it, which many waiting
+    requests have in common; computed for each request, it was four fifths of a pass.
     """
 
     def __init__(self, lost_us: Callable[[Task], int]) -> None:
         self.lost_us = lost_us
-        self._known: dict[tuple[int, float, float, float], tuple[Set[Task], list[Offer]]] = {}
+        self._cache: dict[tuple[int, float, float, float], tuple[Set[Task], list[Offer]]] = {}
 
     def changed(self) -> None:
-        """Something was stopped: all is looked at anew."""
-        self._known = {}
+        """Discard all offers because a task was stopped."""
+        self._cache = {}
 
     def of(self, request: Job, victims: Set[Task]) -> list[Offer]:
-        """The offers to a request for which these may be stopped."""
+        """Returns the offers to a request for which these tasks may be preempted."""
         spec = request.spec
         key = (id(victims), spec.cpus, spec.gpus, spec.ram_gb)
-        known = self._known.get(key)
-        if known is None:  # the victims are kept with the offers, or another set might get their id
-            known = self._known[key] = victims, self._look(request, victims)
-        return known[1]
+        cached = self._cache.get(key)
+        if cached is None:  # the set is kept with its offers, or another one might get the same id
+            cached = self._cache[key] = victims, self._find_offers(request, victims)
+        return cached[1]
 
-    def _look(self, request: Job, victims: Set[Task]) -> list[Offer]:
+    def _find_offers(self, request: Job, victims: Set[Task]) -> list[Offer]:
         found = []
         for machine in {task.machine for task in victims}:
             tasks = _on_machine(request, machine, victims, self.lost_us)
@@ -170,40 +172,40 @@
     request: Job,
     count: int,
     machines: Sequence[Machine],
-    coming: dict[str, list[float]],
+    freeing: dict[str, list[float]],
     victims: Set[Task],
     offers: Offers,
 ) -> tuple[list[Machine], list[Task]]:
-    """Where `count` tasks of the request will fit, and the fewest of `victims` to stop for that.
+    """Returns the machines where `count` tasks of the request will fit, and the fewest `victims` to stop for that.
 
-    A gang gets all of its room or none is made, and with one_zone all of it in one zone: the zone
-    that costs the fewest stops. Room that earlier stops will free (`coming`) is used first, and taken
-    out of `coming`, so that one stop is not counted for two requests.
+    A gang gets capacity for all its tasks or nothing is stopped; with one_zone all in one zone, the one with the
+    fewest stops. Capacity that earlier stops will free (`freeing`) is used first and removed from it, so that one
+    stop is not counted for two requests.
     """
     if not request.spec.one_zone:
-        return _choose_in(request, count, machines, coming, victims, offers)
+        return _choose_among(request, count, machines, freeing, victims, offers)
     options = []
     for zone in sorted({machine.zone for machine in machines}):
         if any(task.machine.zone != zone for task in request.live.values()):
             continue
-        trial = {name: list(room) for name, room in coming.items()}
+        trial = {name: list(free) for name, free in freeing.items()}
         pool = [machine for machine in machines if machine.zone == zone]
-        chosen, stopped = _choose_in(request, count, pool, trial, victims, offers)
+        chosen, stopped = _choose_among(request, count, pool, trial, victims, offers)
         if chosen:
             options.append((len(stopped), sum(map(offers.lost_us, stopped)), zone, chosen, stopped, trial))
     if not options:
         return [], []
     best = min(options, key=lambda option: option[:3])
-    coming.clear()
-    coming.update(best[5])
+    freeing.clear()
+    freeing.update(best[5])
     return best[3], best[4]
 
 
-def _choose_in(
+def _choose_among(
     request: Job,
     count: int,
     machines: Sequence[Machine],
-    coming: dict[str, list[float]],
+    freeing: dict[str, list[float]],
     victims: Set[Task],
     offers: Offers,
 ) -> tuple[list[Machine], list[Task]]:
@@ -221,18 +223,18 @@
         zones[machine.zone] = zones.get(machine.zone, 0) + 1
         granted += 1
 
-    for machine in machines if gang or coming else ():
+    for machine in machines if gang or freeing else ():
         if granted == count:
             break
-        room = coming.get(machine.name)
-        if room is None and gang and machine.fits(spec):
-            room = [machine.free_cpus, machine.free_gpus, machine.free_ram_gb]
-        if room is None or not machine.allows(spec):
+        free = freeing.get(machine.name)
+        if free is None and gang and machine.fits(spec):
+            free = [machine.free_cpus, machine.free_gpus, machine.free_ram_gb]
+        if free is None or not machine.allows(spec):
             continue
-        while granted < count and slots_in(room[0], room[1], room[2], spec) and zones.get(machine.zone, 0) < limit:
-            room[0] -= spec.cpus
-            room[1] -= spec.gpus
-            room[2] -= spec.ram_gb
+        while granted < count and slots_in(free[0], free[1], free[2], spec) and zones.get(machine.zone, 0) < limit:
+            free[0] -= spec.cpus
+            free[1] -= spec.gpus
+            free[2] -= spec.ram_gb
             grant(machine)
     if granted < count and victims:
         pool = set(machines)
@@ -240,7 +242,7 @@
             if granted == count:
                 break
             machine = offer.machine
-            if machine not in pool or machine.name in used or machine.name in coming or not machine.allows(spec):
+            if machine not in pool or machine.name in used or machine.name in freeing or not machine.allows(spec):
                 continue
             if zones.get(machine.zone, 0) < limit:
                 stopped.update(dict.fromkeys(offer.tasks))
--- a/src/tideusher/core/decide/reachability.py
+++ b/src/tideusher/core/decide/reachability.py
@@ -1,13 +1,15 @@
-"""Does a worker that reports hear what it is answered, and does one that answers calls report? Pure.
-
-Its reports may arrive while answers and direct commands to it are lost. Whatever it is told to start then never does,
-and was told it again and again; and nothing that an older leader placed there is ever proven gone, since it never
-shows our token. Elapsed time frees nothing here either: work that it never began goes elsewhere by its own reports,
-and a machine that has not heard us for longer than its lease is returned, which is the proof for the rest.
-
-A worker may reach no controller while calls reach it. Such a mute one can be told to stop, never to start anything,
-and its lease runs out. What was placed there and never told goes elsewhere; for the rest, calls under our token prove
-what is gone. It is returned after its lease and as long as a replacement takes.
+"""Detects workers that can be reached in one direction only. Pure.
+
+A worker's reports may arrive while the answers and direct commands to it are lost. It then never starts what it is
+sent, however often that is repeated, and nothing that an older leader placed there is ever proven gone, because its
+reports never carry this leader's token. Elapsed time alone frees nothing: tasks that it never began are placed
+elsewhere on the strength of its own reports, and a machine that received no answer for longer than its lease is
+returned, which is the proof for the rest.
+
+Conversely, calls may reach a worker that reaches no controller. Such a worker can be told to stop tasks but never to
+start any, and its lease runs out. Tasks placed there whose start was never sent go elsewhere; for the others, calls
+under this leader's token prove what is gone. The machine is returned after its lease plus the time that a replacement
+takes to boot.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -15,18 +17,19 @@
 from tideusher.clock import SECOND_US, to_s
 from tideusher.core.model.records import UP, Machine
 
-#: So many answers in a row without effect, and the worker is taken for deaf; after a rest it is tried again.
+#: After this many ignored answers in a row the worker counts as unresponsive; after the pause it is tried again.
 DEAF_AFTER = 3
-REST_US = 10 * SECOND_US
-#: So many reports in a row that do not come, and it may be mute.
-MUTE_REPORTS = 3
+RETRY_PAUSE_US = 10 * SECOND_US
+#: After this many missing reports in a row the worker may be unable to report.
+MISSING_REPORTS = 3
 
 
 def record_ignored_answer(machine: Machine, report_us: int, now_us: int) -> bool:
-    """An answer had no effect: is the worker deaf?
+    """Record that an answer had no effect; returns True if the worker now counts as unresponsive.
 
-    Reports that a cut held up come all at once when it is over, and none of their answers had time to arrive: they
-    count as one. All machines of a zone would else get no work for the first seconds after its cut.
+    Reports that a network partition held up arrive all at once when it ends, before any of their answers could
+    arrive, so they count as one. Otherwise no machine of the zone would get work for the first seconds after a
+    partition.
     """
     if machine.ignored_answers and now_us - machine.ignored_answer_us < report_us // 2:
         return False
@@ -34,32 +37,32 @@
     machine.ignored_answer_us = now_us
     if machine.ignored_answers < DEAF_AFTER:
         return False
-    machine.unresponsive_until_us = now_us + REST_US
+    machine.unresponsive_until_us = now_us + RETRY_PAUSE_US
     return True
 
 
 def record_effective_answer(machine: Machine) -> None:
-    """An answer was carried out."""
+    """Record that the worker carried out an answer."""
     machine.ignored_answers = machine.unresponsive_until_us = 0
 
 
 def mark_unproven(machine: Machine, now_us: int) -> None:
-    """Nothing is known of it but a report from before it can have heard us."""
-    machine.unresponsive_until_us = now_us + REST_US
+    """Withhold work from a machine whose only report was sent before it can have received an answer of ours."""
+    machine.unresponsive_until_us = now_us + RETRY_PAUSE_US
 
 
 def stopped_reporting(machine: Machine, report_us: int, heard_us: Callable[[Machine], int], now_us: int) -> bool:
-    """Has it not reported for some reports, though it did before? Whether calls reach it is not asked.
+    """True if a machine that used to report has missed several reports, whether or not calls reach it.
 
-    `heard_us`: when any controller heard it last. One that reports to a controller from which nothing comes to us is
-    kept alive by that one: it was once taken for mute, and returned with what it ran.
+    `heard_us`: when any controller last received a report of it. A machine may be kept alive by a controller from
+    which nothing reaches us; one such machine was once taken for unable to report, and returned with its tasks.
     """
-    since_us = now_us - MUTE_REPORTS * report_us - SECOND_US
+    since_us = now_us - MISSING_REPORTS * report_us - SECOND_US
     return 0 < machine.last_report_us < since_us and heard_us(machine) < since_us
 
 
 def is_unresponsive(machine: Machine, now_us: int) -> bool:
-    """Is nothing to be placed there, as it would not be begun?"""
+    """True if nothing is to be placed on the machine because it would not be started."""
     return now_us < machine.unresponsive_until_us
 
 
@@ -71,17 +74,20 @@
     boot_us: Callable[[Machine], int] = lambda machine: 0,
     heard_us: Callable[[Machine], int] = lambda machine: 0,
 ) -> Iterator[tuple[Machine, str]]:
-    """Machines to return, with the reason: what they hold is of an older leader, and was not answered for a lease; or
-    calls reach them, and no controller heard them for a lease and as long as another one boots."""
+    """Yields the machines to return, each with the reason.
+
+    Either the machine holds tasks of an older leader and received no answer for a lease, or calls reach it and no
+    controller has received a report of it for a lease plus the boot time of a replacement.
+    """
     for machine in machines:
         if machine.phase == UP and 0 < machine.last_report_us < machine.last_contact_us:
             since_us = now_us - lease_us - boot_us(machine)
-            called = now_us - machine.last_contact_us < lease_us
-            if called and machine.last_report_us < since_us and heard_us(machine) < since_us:
+            reached = now_us - machine.last_contact_us < lease_us
+            if reached and machine.last_report_us < since_us and heard_us(machine) < since_us:
                 silent_s = to_s(now_us - machine.last_report_us)
                 yield machine, f"calls reach it and it has not reported for {silent_s:.0f} s"
                 continue
         behind_us = now_us - machine.behind_us if machine.behind_us else 0
-        heard = now_us - machine.last_contact_us < lease_us
-        if machine.phase == UP and machine.tasks and heard and behind_us > lease_us + 2 * report_us:
-            yield machine, f"it reports and has heard no answer of this leader for {to_s(behind_us):.0f} s"
+        in_contact = now_us - machine.last_contact_us < lease_us
+        if machine.phase == UP and machine.tasks and in_contact and behind_us > lease_us + 2 * report_us:
+            yield machine, f"it reports and has received no answer of this leader for {to_s(behind_us):.0f} s"
--- a/src/tideusher/core/decide/recovery.py
+++ b/src/tideusher/core/decide/recovery.py
@@ -1,8 +1,10 @@
-"""What a fall took, and in which order it is rebuilt. Pure; the record of it outlives the leader.
+"""Tracks what a mass failure took, and the order in which it is rebuilt. Pure; its record outlives the leader.
 
-The names of the machines to be returned are written as a few values for the whole fall, not as one for each
-of the hundred rentals that they came with: at 25 writes a second those alone took seven, before the first task
-could start again. A later leader that finds them asks for their return again and uses none of them (safety 5).
+The names of the machines to return are written as a few values for the entire mass failure, not as one for each of
+the hundred rentals that the machines belong to: at 25 writes a second those alone took seven seconds before the first
+task could restart. A later leader that finds them requests their return again and uses none of them (safety 5).
+
+Records, metrics, log lines and what users see call a mass failure a "fall".
 """
 
 import logging
@@ -20,19 +22,19 @@
 from tideusher.metrics import Metrics
 
 LOST_ALL, LOST_SOME, NO_PRECEDENCE = 0, 1, 2
-#: Machines of a zone that are found within this time of each other belong to one fall.
-SAME_US = 15 * SECOND_US
-#: So many falls are kept on record, and of each so many of the jobs that lost most.
-FALLS_KEPT, JOBS_KEPT = 16, 40
-#: Of a value's size this part is used, and a machine's name takes so many bytes of it.
-VALUE_PART, NAME_BYTES = 0.6, 24
+#: Machines of a zone that are found failed within this time of each other belong to one mass failure.
+GROUPING_US = 15 * SECOND_US
+#: Mass failures kept on record, and jobs kept on the record of each, those that lost most.
+RECORDS_KEPT, JOBS_KEPT = 16, 40
+#: The share of a value's size limit that is used, and the bytes reserved for one machine's name.
+VALUE_SHARE, NAME_BYTES = 0.6, 24
 
 
 @dataclass(slots=True, eq=False)
 class MassFailure:
-    """Machines of one zone that fell together, from the first silence until all that they held is whole again.
+    """Machines of one zone that failed together, from the first silence until all jobs that they ran have recovered.
 
-    Times are of the time of day. `parts`: names whose return is not confirmed, as they were written.
+    Times are wall-clock times. `parts`: by part number, the written names whose return is not confirmed.
     """
 
     name: str
@@ -43,15 +45,15 @@
     machines: int = 0
     tasks: int = 0
     jobs: dict[str, int] = field(default_factory=dict)  # tasks lost, by job
-    back: dict[str, int] = field(default_factory=dict)  # when each of these was whole again, or over
-    whole: int = 0  # jobs that have been whole again since, or are over
-    whole_us: int = 0  # when the last of them was
+    recovered_at_us: dict[str, int] = field(default_factory=dict)  # by job: when it recovered or ended
+    recovered_jobs: int = 0  # jobs that have recovered or ended since
+    recovery_us: int = 0  # when the last of them did; 0: some have not
     parts: dict[int, list[str]] = field(default_factory=dict)
-    newest: int = 0  # the highest part's number so far: none is used twice
+    last_part: int = 0  # the highest part number so far: none is used twice
 
     def value(self) -> dict[str, Any]:
-        """The plain record, as persisted."""
-        most = sorted(self.jobs.items(), key=lambda item: (-item[1], item[0]))[:JOBS_KEPT]
+        """Returns the plain record, as persisted."""
+        most_affected = sorted(self.jobs.items(), key=lambda item: (-item[1], item[0]))[:JOBS_KEPT]
         return {
             "zone": self.zone,
             "began": self.began_us,
@@ -59,16 +61,16 @@
             "why": self.evidence,
             "machines": self.machines,
             "tasks": self.tasks,
-            "jobs": dict(most),
-            "back": {job: self.back[job] for job, _ in most if job in self.back},
+            "jobs": dict(most_affected),
+            "back": {job: self.recovered_at_us[job] for job, _ in most_affected if job in self.recovered_at_us},
             "of": len(self.jobs),
-            "whole": self.whole,
-            "whole_at": self.whole_us,
+            "whole": self.recovered_jobs,
+            "whole_at": self.recovery_us,
         }
 
 
-def read_fall(name: str, value: dict[str, Any]) -> MassFailure:
-    """The inverse of Fall.value. Jobs beyond those on record are not known any more."""
+def read_mass_failure(name: str, value: dict[str, Any]) -> MassFailure:
+    """Reads what MassFailure.value wrote. Jobs that were not kept on record are lost."""
     return MassFailure(
         name,
         value["zone"],
@@ -85,7 +87,7 @@
 
 
 def describe_mass_failure(name: str, value: dict[str, Any]) -> dict[str, Any]:
-    """A record as told to people."""
+    """Returns a record as shown to users."""
     whole_at = value["whole_at"]
     return {
         "fall": name,
@@ -106,15 +108,15 @@
 
 
 @dataclass(slots=True)
-class _Hurt:
-    """A job that lost tasks, and how many of them have no new place yet."""
+class _AffectedJob:
+    """A job that lost tasks, and how many of them have not been placed again yet."""
 
     mass_failure: MassFailure
-    owed: int = 0
+    unplaced: int = 0
 
 
 class Machines(Protocol):
-    """What this needs of the leader's picture: machines, jobs, and the way to their records."""
+    """The part of the leader's state used here: machines, jobs, and access to their records."""
 
     token: int
     config: Config
@@ -127,70 +129,68 @@
     log: logging.Logger
 
     def mark_returning(self, machine: Machine, reason: str) -> None:
-        """It is never used again."""
+        """Mark a machine as returning; it is never used again."""
 
     def ask_cloud_to_return(self, machine: Machine) -> None:
-        """Have the cloud asked for a return that is on record."""
+        """Request from the cloud a return that is on record."""
 
 
 class Recovery:
-    """Falls under way and on record, and the jobs that are not whole again."""
+    """Owns the current and recorded mass failures, and the jobs that have not recovered."""
 
     def __init__(self, cluster: Machines) -> None:
         self._c = cluster
         self.mass_failures: dict[str, MassFailure] = {}
         self._count = 0
-        self._hurt: dict[str, _Hurt] = {}  # jobs that lost tasks and are not whole again
+        self._affected: dict[str, _AffectedJob] = {}  # jobs that lost tasks and have not recovered
         self._entries: dict[str, Entry] = {}
 
-    # ---------------------------------------------------------------- a fall
+    # ---------------------------------------------------------------- a mass failure
 
     def return_failed(self, zone: str, machines: Iterable[tuple[Machine, str]], now_us: int) -> None:
-        """Return machines that fell together: persisted in few values, then the cloud hears of them."""
+        """Return machines that failed together: the names are persisted in few values before the cloud is called."""
         machines = [(machine, why) for machine, why in machines if machine.phase != RETURNING]
         if not machines:
             return
         silent_us = max((now_us - machine.last_us for machine, _ in machines if machine.last_us), default=0)
-        mass_failure = self._fall_of(zone, silent_us, machines[0][1])
+        mass_failure = self._current_or_new(zone, silent_us, machines[0][1])
         mass_failure.machines += len(machines)
         self._c.metrics.count("fall_machines", zone, len(machines))
         self._c.log.info("fall %s: %d machines of %s, %s", mass_failure.name, len(machines), zone, machines[0][1])
-        # Those first whose tasks are the most urgent to have back.
+        # Machines with the most urgent tasks come first.
         machines.sort(key=lambda item: min((t.job.spec.rank for t in item[0].tasks.values()), default=99))
-        size = max(1, int(self._c.config.settings.state.value_kb * 1024 * VALUE_PART / NAME_BYTES))
+        size = max(1, int(self._c.config.settings.state.value_kb * 1024 * VALUE_SHARE / NAME_BYTES))
         while machines:
-            number = self._part_with_room(mass_failure, size)
+            number = self._open_part(mass_failure, size)
             names = mass_failure.parts.setdefault(number, [])
-            some, machines = machines[: size - len(names)], machines[size - len(names) :]
-            for machine, why in some:
+            chunk, machines = machines[: size - len(names)], machines[size - len(names) :]
+            for machine, why in chunk:
                 self._c.mark_returning(machine, f"{why} (fall {mass_failure.name})")
                 machine.mass_failure = mass_failure.name
                 names.append(machine.name)
             self._c.write_queue.enqueue(
-                self._part_entry(mass_failure, number), partial(self._ask_cloud, [machine for machine, _ in some])
+                self._part_entry(mass_failure, number), partial(self._ask_cloud, [machine for machine, _ in chunk])
             )
         self._write(mass_failure)
 
-    def _part_with_room(self, mass_failure: MassFailure, size: int) -> int:
-        """The last part if it still waits to be written and holds more names, else a new one.
+    def _open_part(self, mass_failure: MassFailure, size: int) -> int:
+        """Returns the number of the last part if it is unwritten and has space for more names, else of a new one.
 
-        Calls come back over seconds: a part for each look would again be a write for every few machines.
+        Calls time out over several seconds: one part per review would again be a write for every few machines.
         """
         last = max(mass_failure.parts, default=0)
         if last and self._part_entry(mass_failure, last).dirty and len(mass_failure.parts[last]) < size:
             return last
-        mass_failure.newest = max(mass_failure.newest, last) + 1
-        return mass_failure.newest
+        mass_failure.last_part = max(mass_failure.last_part, last) + 1
+        return mass_failure.last_part
 
     def recent(self, zone: str) -> bool:
-        """Has a fall of this zone become known just now? The rest of it is found one by one."""
+        """True if a mass failure of this zone was just detected: the rest of its machines are found one by one."""
         wall_us = self._c.wall_us()
-        return any(
-            mass_failure.zone == zone and wall_us - mass_failure.known_us < SAME_US for mass_failure in self._ours()
-        )
+        return any(failure.zone == zone and wall_us - failure.known_us < GROUPING_US for failure in self._own())
 
-    def _ours(self) -> Iterable[MassFailure]:
-        """Falls that this leader found: a later one's numbers begin anew."""
+    def _own(self) -> Iterable[MassFailure]:
+        """Yields the mass failures that this leader found: each leader counts from one."""
         return (
             mass_failure
             for mass_failure in self.mass_failures.values()
@@ -198,53 +198,56 @@
         )
 
     def _new_name(self) -> str:
-        """Never one that is on record: its machines would be forgotten with it, and used although they return."""
+        """Returns an unused name.
+
+        Overwriting a record would forget its machines, which would be used although they are being returned.
+        """
         while True:
             self._count += 1
             name = f"{self._c.token}-{self._count}"
             if name not in self.mass_failures:
                 return name
-            found = f"a fall {name} is there already, and token {self._c.token} would name another so"
+            found = f"fall {name} already exists, and token {self._c.token} would give its name to another"
             self._c.invariants.violated(Rule.FALL_NAME, found)
 
     def _ask_cloud(self, machines: list[Machine]) -> None:
         for machine in machines:
             self._c.ask_cloud_to_return(machine)
 
-    def _fall_of(self, zone: str, silent_us: int, why: str) -> MassFailure:
+    def _current_or_new(self, zone: str, silent_us: int, why: str) -> MassFailure:
         wall_us = self._c.wall_us()
-        for mass_failure in self._ours():
-            if mass_failure.zone == zone and wall_us - mass_failure.known_us < SAME_US:
+        for mass_failure in self._own():
+            if mass_failure.zone == zone and wall_us - mass_failure.known_us < GROUPING_US:
                 return mass_failure
         mass_failure = MassFailure(self._new_name(), zone, wall_us - silent_us, wall_us, why)
         self.mass_failures[mass_failure.name] = mass_failure
         self._c.metrics.count("falls", zone)
         self._c.metrics.observe_mass_failure_detection(zone, to_s(silent_us))
-        for old in list(self.mass_failures.values())[:-FALLS_KEPT]:
-            if not old.parts and not self._mends(old):
+        for old in list(self.mass_failures.values())[:-RECORDS_KEPT]:
+            if not old.parts and not self._is_recovering(old):
                 del self.mass_failures[old.name]
                 self._write(old)
         return mass_failure
 
-    # ---------------------------------------------------------------- what it took, and what is back
+    # ---------------------------------------------------------------- losses and recovery
 
     def lost(self, job: Job, fall_name: str) -> None:
-        """A task of the job is proven gone with a machine that fell."""
+        """Record that a task of the job is proven gone with a machine of the mass failure."""
         mass_failure = self.mass_failures.get(fall_name)
         if mass_failure is None or job.status != OPEN:
             return
         mass_failure.tasks += 1
         mass_failure.jobs[job.spec.id] = mass_failure.jobs.get(job.spec.id, 0) + 1
-        mass_failure.whole_us = 0
-        hurt = self._hurt.setdefault(job.spec.id, _Hurt(mass_failure))
-        hurt.mass_failure = mass_failure
-        hurt.owed += 1
-        if mass_failure.back.pop(job.spec.id, None) is not None:
-            mass_failure.whole -= 1  # it was whole, and lost more
+        mass_failure.recovery_us = 0
+        affected = self._affected.setdefault(job.spec.id, _AffectedJob(mass_failure))
+        affected.mass_failure = mass_failure
+        affected.unplaced += 1
+        if mass_failure.recovered_at_us.pop(job.spec.id, None) is not None:
+            mass_failure.recovered_jobs -= 1  # it had recovered, and lost more tasks
         self._c.metrics.count("fall_tasks_lost", mass_failure.zone)
 
     def returned(self, machine: Machine) -> None:
-        """The machine's return is confirmed; with the last of a part its names are needed no more."""
+        """Record a confirmed return; a part is deleted with its last machine."""
         mass_failure = self.mass_failures.get(machine.mass_failure)
         if mass_failure is None:
             return
@@ -258,79 +261,80 @@
             self._write(mass_failure)
 
     def step(self) -> None:
-        """Look which of the jobs that lost tasks are whole again. Costs what is hurt, not what is open."""
+        """Record which jobs have recovered. The cost depends on the jobs that lost tasks, not on all open jobs."""
         done: dict[str, MassFailure] = {}
-        for job_id, hurt in list(self._hurt.items()):
+        for job_id, affected in list(self._affected.items()):
             job = self._c.jobs.get(job_id)
-            if job is None or job.status != OPEN or (hurt.owed <= 0 and self._runs(job)):
-                del self._hurt[job_id]
-                hurt.mass_failure.whole += 1
-                hurt.mass_failure.back[job_id] = self._c.wall_us()
-                done[hurt.mass_failure.name] = hurt.mass_failure
+            if job is None or job.status != OPEN or (affected.unplaced <= 0 and self._all_running(job)):
+                del self._affected[job_id]
+                affected.mass_failure.recovered_jobs += 1
+                affected.mass_failure.recovered_at_us[job_id] = self._c.wall_us()
+                done[affected.mass_failure.name] = affected.mass_failure
         for mass_failure in done.values():
-            if not self._mends(mass_failure):
-                mass_failure.whole_us = self._c.wall_us()
+            if not self._is_recovering(mass_failure):
+                mass_failure.recovery_us = self._c.wall_us()
                 self._c.metrics.observe_recovery(
-                    mass_failure.zone, to_s(mass_failure.whole_us - mass_failure.began_us)
+                    mass_failure.zone, to_s(mass_failure.recovery_us - mass_failure.began_us)
                 )
                 self._c.log.info(
                     "fall %s: all %d jobs that lost tasks are whole again, %.0f s after it began",
-                    mass_failure.name, len(mass_failure.jobs), to_s(mass_failure.whole_us - mass_failure.began_us),
+                    mass_failure.name, len(mass_failure.jobs), to_s(mass_failure.recovery_us - mass_failure.began_us),
                 )  # fmt: skip
                 self._write(mass_failure)
 
-    def _mends(self, mass_failure: MassFailure) -> bool:
-        """Is a job not whole again that this fall hurt last?"""
-        return any(hurt.mass_failure is mass_failure for hurt in self._hurt.values())
+    def _is_recovering(self, mass_failure: MassFailure) -> bool:
+        """True if a job whose latest loss was in this mass failure has not recovered."""
+        return any(affected.mass_failure is mass_failure for affected in self._affected.values())
 
     @staticmethod
-    def _runs(job: Job) -> bool:
+    def _all_running(job: Job) -> bool:
         return all(task.running_us is not None for task in job.live.values())
 
     def mass_failure_of(self, job: Job) -> MassFailure | None:
-        """The fall that the job is still recovering from."""
-        hurt = self._hurt.get(job.spec.id)
-        return hurt.mass_failure if hurt is not None else None
+        """Returns the mass failure that the job is still recovering from."""
+        affected = self._affected.get(job.spec.id)
+        return affected.mass_failure if affected is not None else None
 
     def placed(self, job: Job, count: int) -> None:
-        """So many tasks of the job got places."""
-        hurt = self._hurt.get(job.spec.id) if self._hurt else None
-        if hurt is not None:
-            hurt.owed -= count
+        """Record that `count` tasks of the job were placed."""
+        affected = self._affected.get(job.spec.id) if self._affected else None
+        if affected is not None:
+            affected.unplaced -= count
 
     def still_waiting(self, mass_failure: MassFailure) -> list[Job]:
-        """Open jobs that this fall hurt last and that are not whole again, those that lost most first."""
+        """Returns open jobs whose latest loss was here and that have not recovered, by the tasks lost."""
         jobs = [
             self._c.jobs[name]
-            for name, hurt in self._hurt.items()
-            if hurt.mass_failure is mass_failure and name in self._c.jobs
+            for name, affected in self._affected.items()
+            if affected.mass_failure is mass_failure and name in self._c.jobs
         ]
         return sorted(jobs, key=lambda job: (-mass_failure.jobs.get(job.spec.id, 0), job.spec.id))
 
     def waiting(self) -> int:
-        """Tasks that a fall took and that wait for a new place, those of jobs that may have one now."""
+        """Returns how many lost tasks wait to be placed again, of jobs that may be placed now."""
         count = 0
-        for name, hurt in self._hurt.items():
+        for name, affected in self._affected.items():
             job = self._c.jobs.get(name)
-            if hurt.owed > 0 and job is not None and job.waits:
-                count += min(hurt.owed, job.pending)
+            if affected.unplaced > 0 and job is not None and job.waits:
+                count += min(affected.unplaced, job.pending)
         return count
 
     def precedence(self, job: Job) -> int:
-        """Before whom the job is rebuilt: services that lost all, then those that lost some, then everybody else.
+        """Returns the rebuild order of a job: services that lost all tasks, then those that lost some, then the rest.
 
-        Only for the highest rank: it may stop what else would take the room, so that would go in vain.
+        Only the highest rank has precedence: it may preempt whatever else would take the capacity, so placing that
+        first would be wasted.
         """
-        if job.spec.id not in self._hurt or not job.is_service or job.spec.rank != CRITICAL:
+        if job.spec.id not in self._affected or not job.is_service or job.spec.rank != CRITICAL:
             return NO_PRECEDENCE
         return LOST_SOME if job.live else LOST_ALL
 
     # ---------------------------------------------------------------- records
 
     def load(self, items: Iterable[tuple[str, dict[str, Any], int]]) -> None:
-        """Take over the falls on record: (key, value, stamp). Machines of theirs that are still there are returning.
+        """Load the mass failures on record: (key, value, stamp). Their remaining machines are marked as returning.
 
-        Whoever calls this has the cloud asked for the return of all that is.
+        The caller requests the return of all machines marked so.
         """
         parts = []
         for key, value, stamp in items:
@@ -338,29 +342,29 @@
             if number:
                 parts.append((name, number, value, stamp))
                 continue
-            self.mass_failures[name] = read_fall(name, value)
+            self.mass_failures[name] = read_mass_failure(name, value)
             self._entry(self.mass_failures[name]).stamp = stamp
         for name, number, value, stamp in parts:
             mass_failure = self.mass_failures.get(name)
-            if mass_failure is None:  # its record was not written any more: what it named is returned all the same
+            if mass_failure is None:  # its own record was not written; what its parts name is returned
                 wall_us = self._c.wall_us()
                 mass_failure = self.mass_failures[name] = MassFailure(
                     name, value["zone"], wall_us, wall_us, "an earlier leader found it"
                 )
-            here = [m for host in value["hosts"] if (m := self._c.machines.get(host)) is not None]
-            mass_failure.parts[number] = [machine.name for machine in here]
+            remaining = [m for host in value["hosts"] if (m := self._c.machines.get(host)) is not None]
+            mass_failure.parts[number] = [machine.name for machine in remaining]
             self._part_entry(mass_failure, number).stamp = stamp
-            for machine in here:
-                self._c.mark_returning(machine, f"it fell (fall {name}); its return was asked")
+            for machine in remaining:
+                self._c.mark_returning(machine, f"it failed (fall {name}); its return was requested")
                 machine.mass_failure = name
-            if not here:
+            if not remaining:
                 del mass_failure.parts[number]
                 self._c.write_queue.enqueue(self._part_entry(mass_failure, number), urgent=False)
         for mass_failure in self.mass_failures.values():
-            for job_id in mass_failure.jobs if not mass_failure.whole_us else ():
+            for job_id in mass_failure.jobs if not mass_failure.recovery_us else ():
                 job = self._c.jobs.get(job_id)
-                if job is not None and job.status == OPEN and job_id not in mass_failure.back:
-                    self._hurt[job_id] = _Hurt(mass_failure, min(mass_failure.jobs[job_id], job.pending))
+                if job is not None and job.status == OPEN and job_id not in mass_failure.recovered_at_us:
+                    self._affected[job_id] = _AffectedJob(mass_failure, min(mass_failure.jobs[job_id], job.pending))
 
     def _write(self, mass_failure: MassFailure) -> None:
         self._c.write_queue.enqueue(self._entry(mass_failure), urgent=False)
--- a/src/tideusher/core/decide/starts.py
+++ b/src/tideusher/core/decide/starts.py
@@ -1,7 +1,7 @@
-"""May a task start on a machine? The one decision, asked when it is placed and again when `run` is told. Pure.
+"""Decides whether a task may start on a machine, when it is placed and again when `run` is sent. Pure.
 
-Passes choose among machines by the same rules, in ways that are fast for thousands of them; this is what counts.
-Between the two questions a machine may have begun to drain, or turn out to be another than its record said.
+Scheduling passes apply the same rules in ways that are fast for thousands of machines; this check is authoritative.
+Between the two checks a machine may have begun to drain, or may turn out to differ from its record.
 """
 
 from collections import Counter
@@ -24,12 +24,12 @@
     DRAINING = "the machine gets no new work"
 
 
-#: What may come true between a task's place and its start, by nobody's fault; all others break a rule of ours.
+#: Refusals that may legitimately arise between a task's placement and its start; any other violates an invariant.
 MAY_CHANGE = frozenset({Refusal.RETURNING, Refusal.NOT_UP, Refusal.DRAINING, Refusal.SPREAD})
 
 
 class Kind(NamedTuple):
-    """What a machine is for good: it never changes while the machine lives."""
+    """The properties of a machine that never change during its lifetime."""
 
     type: str
     zone: str
@@ -40,19 +40,19 @@
 
 
 def kind_of(machine: Machine) -> Kind:
-    """The machine as the leader knows it."""
+    """Returns the kind of a machine as the leader knows it."""
     return Kind(machine.type, machine.zone, machine.spot)
 
 
 def zones_of_others(job: Job, task: Task | None = None) -> Counter[str]:
-    """How many tasks of the job hold a place in each zone, but for this one; empty if it has no rule about zones."""
+    """Returns how many tasks of the job, except this one, hold a place in each zone; empty without a zone rule."""
     if not (job.spec.one_zone or job.spec.spread):
-        return Counter()  # huge arrays have none
+        return Counter()  # huge arrays have no zone rule
     return Counter(other.machine.zone for other in job.live.values() if other is not task)
 
 
 def refusal(job: Job, machine: Machine, zones: Counter[str]) -> Refusal | None:
-    """Why a task of the job may not start on the machine; None: it may. `zones`: where the others of its job are."""
+    """Returns why a task of the job may not start on the machine, or None. `zones`: as from zones_of_others."""
     spec = job.spec
     if spec.types is not None and machine.type not in spec.types:
         return Refusal.TYPE
@@ -60,16 +60,16 @@
         return Refusal.ZONE
     if machine.spot and not spec.spot:
         return Refusal.SPOT
-    return _condition(machine) or _beside_others(job, machine.zone, zones)
+    return _machine_refusal(machine) or _zone_refusal(job, machine.zone, zones)
 
 
-def _condition(machine: Machine) -> Refusal | None:
+def _machine_refusal(machine: Machine) -> Refusal | None:
     if machine.phase != UP:
         return Refusal.NOT_UP if not machine.drain_reason else Refusal.RETURNING
     return Refusal.DRAINING if machine.drain_reason else None
 
 
-def _beside_others(job: Job, zone: str, zones: Counter[str]) -> Refusal | None:
+def _zone_refusal(job: Job, zone: str, zones: Counter[str]) -> Refusal | None:
     if job.spec.one_zone and any(count for other, count in zones.items() if other != zone):
         return Refusal.ONE_ZONE
     limit = job.zone_limit
--- a/src/tideusher/core/decide/succession.py
+++ b/src/tideusher/core/decide/succession.py
@@ -1,12 +1,13 @@
-"""Who leads next, when it may take over before the lease ends, and when a leader gives way by itself. Pure.
+"""Decides the order of succession, early takeovers before the lease ends, and when a leader steps down. Pure.
 
-Nothing here keeps the rules: they rest on the guarded key and on the token (docs/safety.md, 1). A wrong answer costs
-a change of leader, so changes for which only evidence speaks are damped.
+Safety does not depend on this module: it rests on the guarded key and the token (docs/safety.md, 1). A wrong decision
+costs a change of leader, so takeovers based on evidence alone are damped.
 
-A refused connection does not prove a node dead: one without free sockets refuses, a packet filter does. What counts
-is that a connection which was up ended, that a new one is refused, and that most of the others, in several zones, say
-the same and are heard by one another. A leader that nobody reaches is of no use, whatever it is: workers report
-through the others. Silence counts for nothing here: a leader that is silent may stand still for a second.
+A refused connection does not prove that a node is dead: a node without free sockets refuses, and so does a packet
+filter. What counts is that an established connection ended, that a new one is refused, and that a majority of the
+other nodes, in several zones, observe the same and are in contact with one another. A leader that no node reaches is
+useless for whatever reason: workers report through the other nodes. Silence is no evidence: a silent leader may be
+paused for a second.
 """
 
 from collections.abc import Iterable, Sequence
@@ -15,127 +16,142 @@
 
 from tideusher.clock import SECOND_US
 
-#: How long the next in line lets the one before it go first.
-STEP_US = SECOND_US // 4
-#: A connection to the leader must be refused for so long.
+#: The delay between one candidate in the order and the next.
+STAGGER_US = SECOND_US // 4
+#: How long connections to the leader must have been refused.
 LOST_US = 3 * SECOND_US // 10
-#: After a change on evidence the next one waits so long, doubled with each that follows within CALM_US.
-DAMP_US, DAMP_MOST, CALM_US = 10 * SECOND_US, 4, 300 * SECOND_US
-#: A standby with more changes to apply than this is not warm.
-WARM = 200
-#: Timers that fire later than this, on average, are those of a node that computes too slowly for what it has to do.
-SLOW_US = SECOND_US // 2
-#: How much one firing counts.
-WEIGHT = 0.2
-#: A leader gives way no sooner than this after its election, and only to one that is faster by this factor.
-YIELDS_AFTER_US, FASTER = 20 * SECOND_US, 4
-#: One that gave way stands last for so long.
+#: The pause after an early takeover, the limit of its doublings, and the time within which the next one doubles it.
+TAKEOVER_PAUSE_US, MAX_PAUSE_DOUBLINGS, CALM_US = 10 * SECOND_US, 4, 300 * SECOND_US
+#: A standby with more unapplied changes than this is not warm.
+MAX_WARM_CHANGES = 200
+#: The average delay of timers from which a node counts as too slow for its load.
+SLOW_TIMER_US = SECOND_US // 2
+#: The weight of one firing in the average delay.
+LAG_WEIGHT = 0.2
+#: A leader steps down no sooner than this after its election, and only for a standby faster by this factor.
+MIN_LEADERSHIP_US, SPEED_FACTOR = 20 * SECOND_US, 4
+#: How long a controller that stepped down stays last in the order.
 STEP_DOWN_COOLDOWN_US = 60 * SECOND_US
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A controller as a possible leader, as it told us (ourselves: as we are)."""
+    """A controller as a possible leader, as reported by itself."""
 
     node: str
     zone: str
-    in_contact: bool  # does it reach the state service?
-    deaf: bool = False  # have all the workers that it had fallen silent?
-    behind: int | None = None  # changes that it has yet to apply; None: it does not follow
-    lag_us: int = 0  # how late its timers fire
-    lost: int = 0  # the token of the leader whose connection it lost, and which refuses it
-    rests: bool = False  # it gave way just now
-    reads_pages: bool = False  # does it read shared placement records? An older version does not
+    in_contact: bool  # it reaches the state service
+    deaf: bool = False  # all its workers went silent
+    behind: int | None = None  # changes that it has not applied yet; None: it is not a standby
+    lag_us: int = 0  # average delay of its timers
+    lost: int = 0  # token of the leader whose connection it lost and which refuses a new one
+    rests: bool = False  # it stepped down recently
+    reads_pages: bool = False  # it reads shared placement records; older versions do not
 
 
 def succession_order(candidates: Iterable[Candidate], token: int) -> list[str]:
-    """Who stands first, second, ...: the same on all nodes that know the same. A tie is settled by the token.
+    """Returns the candidates in order, the same on all nodes with the same information; the token breaks ties.
 
-    A node that is cut off from the state service is not in it.
+    Nodes that do not reach the state service are not included.
     """
 
-    def place(one: Candidate) -> tuple[bool, bool, bool, int, int, str]:
-        cold = 2 if one.behind is None else int(one.behind > WARM)
-        slow = one.lag_us > SLOW_US
-        return one.rests, one.deaf, slow, cold, crc32(f"{token}/{one.node}".encode()), one.node
+    def sort_key(candidate: Candidate) -> tuple[bool, bool, bool, int, int, str]:
+        cold = 2 if candidate.behind is None else int(candidate.behind > MAX_WARM_CHANGES)
+        slow = candidate.lag_us > SLOW_TIMER_US
+        return (
+            candidate.rests,
+            candidate.deaf,
+            slow,
+            cold,
+            crc32(f"{token}/{candidate.node}".encode()),
+            candidate.node,
+        )
 
-    return [one.node for one in sorted((one for one in candidates if one.in_contact), key=place)]
+    return [
+        candidate.node
+        for candidate in sorted((candidate for candidate in candidates if candidate.in_contact), key=sort_key)
+    ]
 
 
-def election_delay_us(ours: Candidate, others: Sequence[Candidate], token: int) -> int:
-    """For how long this node lets others stand first once the leadership is free."""
-    order = succession_order([ours, *others], token)
-    return STEP_US * (order.index(ours.node) if ours.node in order else len(order))
+def election_delay_us(own: Candidate, others: Sequence[Candidate], token: int) -> int:
+    """Returns how long this node waits for others to be elected once there is no leader."""
+    order = succession_order([own, *others], token)
+    return STAGGER_US * (order.index(own.node) if own.node in order else len(order))
 
 
 @dataclass(frozen=True, slots=True)
 class Leadership:
-    """What is known of the present leadership."""
+    """The current leadership as known to this node."""
 
     node: str
     token: int
-    since_us: int  # when we first knew of it
-    early: int  # changes on evidence in a row up to it, each within CALM_US of the one before
+    since_us: int  # when this node first learnt of it
+    early: int  # consecutive early takeovers up to it, each within CALM_US of the one before
 
 
 def takeover_reason(
-    leadership: Leadership, ours: Candidate, others: Sequence[Candidate], size: int, now_us: int
+    leadership: Leadership, own: Candidate, others: Sequence[Candidate], size: int, now_us: int
 ) -> str:
-    """Why this node takes the leadership from a leader whose lease still runs; empty: it does not."""
-    if not ours.in_contact or ours.deaf or ours.lost != leadership.token:
+    """Returns why this node takes over from a leader whose lease is still valid; empty if it does not."""
+    if not own.in_contact or own.deaf or own.lost != leadership.token:
         return ""
-    if leadership.early and now_us - leadership.since_us < DAMP_US << min(leadership.early - 1, DAMP_MOST):
+    if leadership.early and now_us - leadership.since_us < TAKEOVER_PAUSE_US << min(
+        leadership.early - 1, MAX_PAUSE_DOUBLINGS
+    ):
         return ""
-    heard = [one for one in others if one.node != leadership.node and one.in_contact]
-    agree = [ours, *(one for one in heard if one.lost == leadership.token)]
-    if 2 * len(agree) <= size - 1 or len(agree) < 2:
+    reachable = [candidate for candidate in others if candidate.node != leadership.node and candidate.in_contact]
+    agreeing = [own, *(candidate for candidate in reachable if candidate.lost == leadership.token)]
+    if 2 * len(agreeing) <= size - 1 or len(agreeing) < 2:
         return ""
-    zones, all_zones = {one.zone for one in agree}, {one.zone for one in [ours, *heard]}
+    zones, all_zones = (
+        {candidate.zone for candidate in agreeing},
+        {candidate.zone for candidate in [own, *reachable]},
+    )
     if len(zones) < min(2, len(all_zones)):
         return ""
-    if succession_order(agree, leadership.token)[0] != ours.node:
+    if succession_order(agreeing, leadership.token)[0] != own.node:
         return ""
-    return f"{len(agree)} of {size - 1} others, in {len(zones)} zones, lost their connection to it and are refused"
+    return f"{len(agreeing)} of {size - 1} others, in {len(zones)} zones, lost their connection to it and are refused"
 
 
 def leader_cannot_read_pages(leader: str, others: Sequence[Candidate]) -> bool:
-    """Is the leader an older version that does not read all that is on record? It can write nothing."""
-    return any(one.node == leader and not one.reads_pages for one in others)
+    """True if the leader is an older version that does not read all records; it can then write nothing."""
+    return any(candidate.node == leader and not candidate.reads_pages for candidate in others)
 
 
 def all_read_pages(peers: int, others: Sequence[Candidate], shared_before: bool) -> bool:
-    """May small jobs' records share pages?
+    """True if the records of small jobs may share pages.
 
-    Once all other controllers were heard to read them, and until one is heard that does not: an older version that is
-    back answers its users from what it reads.
+    That is once all other controllers are known to read pages, and until one appears that does not: an older version
+    that comes back answers its users from the records that it reads.
     """
-    if any(not one.reads_pages for one in others):
+    if any(not candidate.reads_pages for candidate in others):
         return False
     return shared_before or len(others) == peers
 
 
 def early_after(leadership: Leadership, now_us: int) -> int:
-    """How many changes on evidence in a row there are with one made now."""
+    """Returns the number of consecutive early takeovers including one made now."""
     return leadership.early + 1 if now_us - leadership.since_us < CALM_US else 1
 
 
-def step_down_reason(ours: Candidate, others: Sequence[Candidate], led_us: int) -> str:
-    """Why a leader gives up its leadership by itself; empty: it goes on.
+def step_down_reason(own: Candidate, others: Sequence[Candidate], leadership_us: int) -> str:
+    """Returns why a leader steps down by itself; empty if it continues.
 
-    One that computes several times slower than it should renews its lease and does little else: its answers come
-    late, its passes later. It goes on if nobody who follows is clearly faster: then the load is to blame.
+    A leader whose node is several times too slow renews its lease but does little else: its answers are late and its
+    passes later. It continues if no standby is clearly faster, because then the load is the cause.
     """
-    if ours.lag_us < SLOW_US or led_us < YIELDS_AFTER_US:
+    if own.lag_us < SLOW_TIMER_US or leadership_us < MIN_LEADERSHIP_US:
         return ""
-    for one in others:
-        warm = one.behind is not None and one.behind <= WARM
-        if one.in_contact and warm and not one.deaf and one.lag_us * FASTER <= ours.lag_us:
-            return f"its timers fire {ours.lag_us / SECOND_US:.1f} s late, those of {one.node} do not"
+    for candidate in others:
+        warm = candidate.behind is not None and candidate.behind <= MAX_WARM_CHANGES
+        if candidate.in_contact and warm and not candidate.deaf and candidate.lag_us * SPEED_FACTOR <= own.lag_us:
+            return f"its timers fire {own.lag_us / SECOND_US:.1f} s late, those of {candidate.node} do not"
     return ""
 
 
 class TimerLag:
-    """How late a timer fires, smoothed: standing still once for a second and a half does not make a node slow."""
+    """The smoothed delay of a timer: one pause of a second and a half does not make a node slow."""
 
     def __init__(self, period_us: int) -> None:
         self._period_us = period_us
@@ -143,13 +159,13 @@
         self._lag_us = 0.0
 
     def fired(self, now_us: int) -> None:
-        """The timer fired."""
+        """Record that the timer fired."""
         if self._last_us is not None:
             late_us = max(0, now_us - self._last_us - self._period_us)
-            self._lag_us += WEIGHT * (min(late_us, 4 * SECOND_US) - self._lag_us)
+            self._lag_us += LAG_WEIGHT * (min(late_us, 4 * SECOND_US) - self._lag_us)
         self._last_us = now_us
 
     @property
     def us(self) -> int:
-        """Microseconds; 0: it fires in time."""
+        """The average delay in microseconds; 0 if the timer fires on time."""
         return round(self._lag_us)
--- a/src/tideusher/core/decide/task_failures.py
+++ b/src/tideusher/core/decide/task_failures.py
@@ -1,9 +1,9 @@
-"""Is it the machine that fails tasks, or the job? Pure.
+"""Decides whether the machine or the job is at fault for failed tasks. Pure.
 
-PROTOCOL: an error is mostly the machine's fault; a job that was submitted with a mistake fails on every machine
-until its user cancels it. Told by who else fails: a job that failed on several machines and of which nothing was ever
-done is at fault; a machine counts as faulty by jobs that are not. So no healthy machine goes back for such a job, and
-a faulty one is still found while such jobs run.
+PROTOCOL: an error is mostly the machine's fault; a job that was submitted with a mistake fails on every machine until
+its user cancels it. They are told apart by their other failures: a job that failed on several machines and never
+completed a task is at fault; a machine is faulty if jobs that are not at fault fail on it. So no healthy machine is
+returned because of a broken job, and a faulty one is still found while such jobs run.
 """
 
 from collections.abc import Mapping
@@ -12,52 +12,54 @@
 from tideusher.core.model.records import OPEN, Job, Machine
 from tideusher.wire.workers import ACTIVE
 
-#: A job that failed on so many different machines, and never succeeded, is at fault itself.
-MACHINES = 3
-#: So many honest jobs must have failed on a machine, or one that has succeeded elsewhere so often.
-JOBS = 2
-#: Pauses between tries of a job at fault double from the first to the last of these.
+#: A job that failed on this many different machines and never succeeded is itself at fault.
+JOB_FAULT_MACHINES = 3
+#: The jobs not at fault, or the failures of one job that has succeeded elsewhere, that make a machine faulty.
+MACHINE_FAULT_JOBS = 2
+#: The pause between attempts of a job at fault doubles from the first to the last of these.
 FIRST_PAUSE_US, LAST_PAUSE_US = 8 * SECOND_US, 60 * SECOND_US
-#: For how long two jobs that never succeeded may clear a machine by failing elsewhere too.
-SURE_US = 15 * SECOND_US
+#: How long two jobs that never succeeded have to clear a machine by failing elsewhere too.
+SUSPECT_US = 15 * SECOND_US
 FAULTY, SUSPECT = "faulty", "suspect"
-#: A job that has begun to fail, but may be honest, waits no longer than this: its next try tells.
+#: The pause of a job that has begun to fail but may not be at fault: its next attempt tells.
 SHORT_PAUSE_US = 2 * SECOND_US
 
 
 def succeeded(job: Job) -> bool:
-    """Has any task of it been done? A service's are never: one of its replicas runs."""
+    """True if a task of the job completed or, for a service, whose tasks never complete, a replica runs."""
     return job.done_count > 0 or (job.is_service and any(task.state == ACTIVE for task in job.live.values()))
 
 
 def at_fault(job: Job) -> bool:
-    """Does the job itself seem to be the reason why its tasks fail?"""
-    return len(job.error_machines or ()) >= MACHINES and not succeeded(job)
+    """True if the job itself seems to be the reason why its tasks fail."""
+    return len(job.error_machines or ()) >= JOB_FAULT_MACHINES and not succeeded(job)
 
 
 def pause_us(job: Job) -> int:
-    """How long after a failure the job waits for its next try. Never given up: only its user knows."""
+    """Returns the pause after a failure. A job is never given up: only its user knows whether it is broken."""
     if at_fault(job):
-        tries = max(0, len(job.error_machines or ()) - MACHINES)
-        return min(LAST_PAUSE_US, FIRST_PAUSE_US << min(tries, 10))
-    return SHORT_PAUSE_US if job.failures >= MACHINES else 0
+        attempts = max(0, len(job.error_machines or ()) - JOB_FAULT_MACHINES)
+        return min(LAST_PAUSE_US, FIRST_PAUSE_US << min(attempts, 10))
+    return SHORT_PAUSE_US if job.failures >= JOB_FAULT_MACHINES else 0
 
 
 def judge(machine: Machine, jobs: Mapping[str, Job], now_us: int) -> str:
-    """FAULTY, SUSPECT or neither, by what failed on the machine since a task was last done there.
+    """Returns FAULTY, SUSPECT or an empty string, from the failures on the machine since a task last completed there.
 
-    A job that nobody knows any more proves nothing: it may have been cancelled for its mistake. One that has
-    succeeded elsewhere proves most. Two that have yet to succeed anywhere may both be at fault, which their next
-    tries elsewhere tell: until then the machine gets no new work, and after SURE_US it is the one.
+    A job that is no longer known proves nothing: it may have been cancelled for its mistake. A job that has succeeded
+    elsewhere is the strongest evidence. Two that have not succeeded anywhere may both be at fault, which their next
+    attempts elsewhere tell: until then the machine gets no new work, and after SUSPECT_US it counts as faulty.
     """
-    honest = [
+    not_at_fault = [
         (job, times)
         for name, times in machine.failures_by_job.items()
         if (job := jobs.get(name)) is not None and job.status == OPEN and not at_fault(job)
     ]
-    proven = [(job, times) for job, times in honest if job.done_count]
-    if any(times >= JOBS for _, times in proven) or (proven and len(honest) >= JOBS):
+    proven = [(job, times) for job, times in not_at_fault if job.done_count]
+    if any(times >= MACHINE_FAULT_JOBS for _, times in proven) or (
+        proven and len(not_at_fault) >= MACHINE_FAULT_JOBS
+    ):
         return FAULTY
-    if len(honest) < JOBS:
+    if len(not_at_fault) < MACHINE_FAULT_JOBS:
         return ""
-    return FAULTY if machine.suspect_since_us and now_us - machine.suspect_since_us >= SURE_US else SUSPECT
+    return FAULTY if machine.suspect_since_us and now_us - machine.suspect_since_us >= SUSPECT_US else SUSPECT
--- a/tests/region.py
+++ b/tests/region.py
@@ -10,7 +10,7 @@
 from tideusher.wire.cloud import ListedMachine
 from tideusher.wire.workers import Commands
 
-UP, DEAD, HANGS, CUT = "up", "dead", "hangs", "cut"
+UP, DEAD, HANGS, CUT_OFF = "up", "dead", "hangs", "cut"
 MUTE = "mute"  # its controller has ended: it answers calls and reports to nobody yet
 STEP_S = 0.25
 LIST_TELLS_S = 30.0
@@ -92,7 +92,7 @@
                 report = worker.report()
                 commands = Commands(self.cluster.token, Reports(self.cluster).answer(report, now))
                 worker.answer(commands, now, report.session)
-            if self.is_[name] in (UP, CUT, MUTE) and (self.steps + number) % 4 == 0:
+            if self.is_[name] in (UP, CUT_OFF, MUTE) and (self.steps + number) % 4 == 0:
                 began += [(worker, task) for task in worker.pass_time(now, 1.0, self._whole)]
         self.rules.check(list(self.workers.values()), began, now)
         if self.leads:
--- a/tests/test_conditions.py
+++ b/tests/test_conditions.py
@@ -183,8 +183,8 @@
     assert not rewritten and harness.state.tide - before <= 1000 // 7
     assert (
         not harness.cluster.jobs
-        and not harness.cluster.conditions._on_end
-        and not harness.cluster.conditions._on_begin
+        and not harness.cluster.conditions._dependents_on_end
+        and not harness.cluster.conditions._dependents_on_begin
     )
 
 
@@ -206,7 +206,7 @@
 
 
 def test_releases_come_in_bounded_pieces(harness, monkeypatch):
-    monkeypatch.setattr(conditions, "PIECE", 10)
+    monkeypatch.setattr(conditions, "EVALUATIONS_PER_STEP", 10)
     first = job()
     harness.submit(first)
     for _ in range(35):
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -3,14 +3,13 @@
 import msgspec
 import pytest
 
-from region import CUT, DEAD, HANGS, MUTE, UP, Region
+from region import CUT_OFF, DEAD, HANGS, MUTE, UP, Region
 from standins import job
 from tideusher.config import Team
-from tideusher.core.decide import mass_failures as falls_module
+from tideusher.core.decide import mass_failures as detection
 from tideusher.core.decide.gang_reservations import Request
-from tideusher.core.decide.mass_failures import ASKING, FALLEN, SAMPLE, Evidence, judge
-from tideusher.core.decide.mass_failures import CUT as CUT_OFF
-from tideusher.core.decide.recovery import MassFailure, read_fall
+from tideusher.core.decide.mass_failures import FAILED, PARTITIONED, SAMPLE_MACHINES, UNDECIDED, Evidence, judge
+from tideusher.core.decide.recovery import MassFailure, read_mass_failure
 from tideusher.core.lead.explain import explain_job, mass_failures
 from tideusher.core.model import keys
 
@@ -31,13 +30,13 @@
 @pytest.mark.parametrize(
     ("evidence", "kind"),
     [
-        (Evidence(30, 7, 5, True, True, True), ASKING),  # the sample is not through
-        (Evidence(3, 3, 1, False, True, True), FALLEN),
-        (Evidence(30, 8, 1, False, True, True), FALLEN),  # one that is heard is enough
-        (Evidence(30, 30, 0, False, True, True), CUT_OFF),
-        (Evidence(30, 30, 0, True, True, True), FALLEN),  # its controller is heard
-        (Evidence(30, 30, 5, True, False, True), ASKING),  # our calls reach nobody at all
-        (Evidence(30, 30, 0, True, False, False), CUT_OFF),  # nobody anywhere is heard: it is us
+        (Evidence(30, 7, 5, True, True, True), UNDECIDED),  # the sample is not through
+        (Evidence(3, 3, 1, False, True, True), FAILED),
+        (Evidence(30, 8, 1, False, True, True), FAILED),  # one that is heard is enough
+        (Evidence(30, 30, 0, False, True, True), PARTITIONED),
+        (Evidence(30, 30, 0, True, True, True), FAILED),  # its controller is heard
+        (Evidence(30, 30, 5, True, False, True), UNDECIDED),  # our calls reach nobody at all
+        (Evidence(30, 30, 0, True, False, False), PARTITIONED),  # nobody anywhere is heard: it is us
     ],
 )
 def test_what_silence_means(evidence, kind):
@@ -86,7 +85,7 @@
 def test_a_cut_of_a_whole_zone_returns_nothing_of_it(region, seconds):
     spec = service(8)
     region.start(spec)
-    region.turn(region.of("a"), CUT)
+    region.turn(region.of("a"), CUT_OFF)
     region.run(seconds)
     # At the end of the cut a controller of the zone may be heard before any worker is; what was called in
     # vain during the cut proves nothing then.
@@ -109,16 +108,16 @@
         def items(self):
             return [("a", 0)]
 
-    region.turn(region.of("a"), CUT)
+    region.turn(region.of("a"), CUT_OFF)
     region.run(12)
-    region.cluster.mass_failures._open = Never()
+    region.cluster.mass_failures._reachable_since_us = Never()
     region.cluster.mass_failures.controller_only_zones = {"a"}
     region.run(0.5)
     assert mass_failures(region.cluster)
 
 
 def test_a_call_made_before_the_way_was_known_says_nothing_though_it_ends_after(region):
-    region.turn(region.of("a"), CUT)
+    region.turn(region.of("a"), CUT_OFF)
     region.run(6)
     calls, names = region.cluster.mass_failures, region.of("a")
     called_us = region.clock.now_us()
@@ -138,7 +137,7 @@
     specs = [service(4) for _ in range(6)]
     region.start(*specs)
     away = region.of("a")[2:]
-    region.turn(away, CUT)
+    region.turn(away, CUT_OFF)
     region.run(seconds)
     if seconds == 5:
         assert not region.gone
@@ -196,7 +195,7 @@
 def test_a_leader_that_no_call_leaves_returns_nobody(region):
     # A leader that a packet filter cuts off from workers hears those of other gateways and reaches none itself.
     region.cluster.mass_failures.answered = lambda machine, now_us: None
-    region.turn(region.of("a")[:15], CUT)
+    region.turn(region.of("a")[:15], CUT_OFF)
     region.run(25)
     assert not region.gone
 
@@ -257,7 +256,7 @@
     region.cloud_answers = False
     away = [name for name in region.of("a") if region.cluster.machines[name].tasks][:6]
     away += [name for name in region.of("a") if name not in away][:10]
-    region.turn(away, CUT)
+    region.turn(away, CUT_OFF)
     region.run(10)
     assert mass_failures(region.cluster)[0]["machines"] == len(away)
     region.turn(away, UP)
@@ -398,7 +397,7 @@
     region.state.txn = lambda guards, writes: (written.append([w.key for w in writes]), txn(guards, writes))[1]
     region.turn(dying, DEAD)
     region.run(25, lambda: len(region.gone) == len(dying))
-    assert len(region.gone) == len(dying) and region.most_calls <= falls_module.AT_ONCE
+    assert len(region.gone) == len(dying) and region.most_calls <= detection.MAX_CONCURRENT_CALLS
     parts = [key for some in written for key in some if key.startswith(keys.FALL_PREFIX) and not key.endswith("/0")]
     assert len(set(parts)) <= 12 and region.state.tide > before  # not one for each of 312 rentals
 
@@ -432,9 +431,9 @@
 
 def test_of_a_zone_that_is_cut_off_only_a_sample_is_called():
     region = Region(a=100, b=10)
-    region.turn(region.of("a"), CUT)
+    region.turn(region.of("a"), CUT_OFF)
     region.run(20)
-    assert region.most_calls <= SAMPLE + falls_module.CONTROLS
+    assert region.most_calls <= SAMPLE_MACHINES + detection.CONTROL_MACHINES
 
 
 def test_the_fall_is_told_with_the_job_and_outlives_the_leader(region):
@@ -469,7 +468,7 @@
     jobs = {f"req-{10**18 + n}": 100_000 for n in range(400)}
     at_us = 1_800_000_000_000_000
     mass_failure = MassFailure("9" * 12 + "-99", "z" * 30, at_us, at_us, "w" * 200, 600, 40_000_000, jobs)
-    mass_failure.back = dict.fromkeys(jobs, at_us)
-    mass_failure.whole, mass_failure.whole_us = 400, at_us
+    mass_failure.recovered_at_us = dict.fromkeys(jobs, at_us)
+    mass_failure.recovered_jobs, mass_failure.recovery_us = 400, at_us
     assert len(msgspec.json.encode(mass_failure.value())) < 4096
-    assert read_fall(mass_failure.name, mass_failure.value()).back.keys() == set(list(jobs)[:40])
+    assert read_mass_failure(mass_failure.name, mass_failure.value()).recovered_at_us.keys() == set(list(jobs)[:40])
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -7,9 +7,9 @@
 from tideusher.clock import SECOND_US
 from tideusher.core.decide import task_failures
 from tideusher.core.decide.boots import Boots
-from tideusher.core.decide.fleet import GUEST_BOOTS, MOST_PLANNED, Fleet
+from tideusher.core.decide.fleet import MAX_PLANNED, SPOT_ONLY_BOOTS, Fleet
 from tideusher.core.decide.gang_reservations import Request
-from tideusher.core.decide.order import TASK_US, urgency_us
+from tideusher.core.decide.order import REMAINING_TASK_US, urgency_us
 from tideusher.core.lead import explain
 from tideusher.core.model import keys
 from tideusher.core.model.contacts import LocalContacts
@@ -129,7 +129,9 @@
     assert (
         machine.suspect_since_us and not machine.tasks and harness.cluster.machines["host-2"].tasks
     )  # others take the work
-    assert task_failures.judge(machine, harness.cluster.jobs, now_us + task_failures.SURE_US) == task_failures.FAULTY
+    assert (
+        task_failures.judge(machine, harness.cluster.jobs, now_us + task_failures.SUSPECT_US) == task_failures.FAULTY
+    )
     # One that has succeeded elsewhere is honest for good, on however many machines it fails.
     del machine.failures_by_job[other.spec.id]
     for name in ("host-5", "host-6", "host-7"):
@@ -230,7 +232,7 @@
     monkeypatch.setattr(Fleet, "_new_bin", lambda *words: made.append(1) or new_bin(*words))
     harness.scheduler.schedule(harness.clock.now_us())
     asked = harness.cluster.renting.asked()
-    assert MOST_PLANNED <= len(made) < MOST_PLANNED + 401 and asked and max(rental.count for rental in asked) == 50
+    assert MAX_PLANNED <= len(made) < MAX_PLANNED + 401 and asked and max(rental.count for rental in asked) == 50
 
 
 def test_for_a_guest_cheap_machines_are_rented_and_ordinary_ones_only_after_long():
@@ -245,7 +247,7 @@
         harness.scheduler.schedule(harness.clock.now_us())
         assert any(not rental.spot for rental in harness.cluster.renting.asked()) is ordinary
         if team == "poor":
-            harness.clock.pass_s(GUEST_BOOTS * TYPE.boot_s + 1)
+            harness.clock.pass_s(SPOT_ONLY_BOOTS * TYPE.boot_s + 1)
             for _ in range(3):
                 harness.scheduler.schedule(harness.clock.now_us())
                 for rental in harness.cluster.renting.asked():
@@ -309,7 +311,7 @@
     assert queue == [fresh, late_small, old, late_large]
     # None is passed for ever: after some minutes the large one goes before small ones that came later.
     newcomer = arrived(3, 400)
-    assert urgency_us(late_large, None, now_us) < urgency_us(newcomer, None, now_us) + 50 * TASK_US
+    assert urgency_us(late_large, None, now_us) < urgency_us(newcomer, None, now_us) + 50 * REMAINING_TASK_US
     waits = [urgency_us(late_large, None, (1000 + s) * SECOND_US) for s in (0, 60, 120)]
     assert waits == sorted(waits, reverse=True)
     service = Job(job("service", 2, estimate_s=0.0), 1, 0, 0)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -7,7 +7,13 @@
 from tideusher.actors.http import CallFailed, HttpClient
 from tideusher.clock import SECOND_US
 from tideusher.config import WorkerSettings
-from tideusher.core.decide.routing import BACK_US, SHUT_US, RedirectPolicy, RedirectTarget, ReportMonitor
+from tideusher.core.decide.routing import (
+    EXCLUSION_US,
+    RETURN_WINDOW_US,
+    RedirectPolicy,
+    RedirectTarget,
+    ReportMonitor,
+)
 
 SETTINGS = WorkerSettings(2.0, 13.0, 50.0, 5.0, 38.0)
 NODES = ["n0", "n1", "n2"]  # of zones a, a and b; the one that is cut off from workers is the only one of b
@@ -79,13 +85,15 @@
     assert directions.redirect_target("host-1", "b", doors, now) == "n2"
     assert directions.redirect_target("host-1", "b", doors, now + SECOND_US) is None  # it came back: shut
     assert directions.redirect_target("host-2", "b", doors, now + 2 * SECOND_US) is None
-    now += SHUT_US + SECOND_US
+    now += EXCLUSION_US + SECOND_US
     assert directions.redirect_target("host-3", "b", doors, now) == "n2"
     assert directions.redirect_target("host-4", "b", doors, now + 1) is None
     assert directions.redirect_target("host-3", "b", doors, now + 5 * SECOND_US) is None  # still not
-    now += 2 * SHUT_US + 6 * SECOND_US
+    now += 2 * EXCLUSION_US + 6 * SECOND_US
     assert directions.redirect_target("host-4", "b", doors, now) == "n2"
-    assert directions.redirect_target("host-5", "b", doors, now + BACK_US + 1) == "n2"  # host-4 did not come back
+    assert (
+        directions.redirect_target("host-5", "b", doors, now + RETURN_WINDOW_US + 1) == "n2"
+    )  # host-4 did not come back
 
 
 def test_workers_are_shared_among_the_controllers_of_their_zone():
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,7 +12,7 @@
 from tideusher.config import Policy, StateSettings, Team
 from tideusher.core.decide import gang_reservations, preempt
 from tideusher.core.decide.fleet import Bin, Bins, Fleet
-from tideusher.core.decide.mass_failures import SAMPLE
+from tideusher.core.decide.mass_failures import SAMPLE_MACHINES
 from tideusher.core.decide.placement import Demand, FreeCapacity, PlacementCache, slots_in
 from tideusher.core.decide.preempt import Offers, PreemptibleTasks, TeamStanding, choose_victims, protected_until_us
 from tideusher.core.decide.refusal_cache import RefusalCache
@@ -246,7 +246,7 @@
         harness.report(f"host-{number}", 1, zone=zone)
     clock.pass_s(10.0)
     probing = {probe.machine.name for probe in cluster.review_silent_machines(clock.now_us(), set()).probes}
-    assert len(probing) == 2 * SAMPLE  # both zones are silent
+    assert len(probing) == 2 * SAMPLE_MACHINES  # both zones are silent
     assert cluster.review_silent_machines(clock.now_us(), probing).probes == []
 
 
@@ -326,8 +326,8 @@
     """Each waiting gang once counted on every machine what its ending work would leave: a day took too long."""
     machines, _ = fleet_of(random.Random(1), 30)
     looks = []
-    once_idle = gang_reservations._once_idle
-    monkeypatch.setattr(gang_reservations, "_once_idle", lambda m, j: looks.append(m.name) or once_idle(m, j))
+    once_idle = gang_reservations._slots_once_idle
+    monkeypatch.setattr(gang_reservations, "_slots_once_idle", lambda m, j: looks.append(m.name) or once_idle(m, j))
     gangs = [(Job(job("gang", 8, gpus=4.0, cpus=12.0, one_zone=True), 1, 0, 0), 8) for _ in range(10)]
     requests = gang_reservations.GangReservations().update(
         gangs, machines, machines, lambda j, zone: gang_reservations.NONE
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -13,7 +13,7 @@
 from tideusher.config import Policy
 from tideusher.core.decide import succession
 from tideusher.core.decide.succession import (
-    DAMP_US,
+    TAKEOVER_PAUSE_US,
     Candidate,
     Leadership,
     TimerLag,
@@ -46,7 +46,7 @@
 def test_all_know_the_same_line_and_nobody_stands_with_another():
     nodes = seven()
     delays = {one.node: election_delay_us(one, [o for o in nodes if o is not one], 41) for one in nodes}
-    assert sorted(delays.values()) == [n * succession.STEP_US for n in range(6)]
+    assert sorted(delays.values()) == [n * succession.STAGGER_US for n in range(6)]
     assert [name for name, _ in sorted(delays.items(), key=lambda item: item[1])] == succession_order(nodes, 41)
     assert len({succession_order(nodes, token)[0] for token in range(40, 60)}) > 2  # not always the same one
 
@@ -146,7 +146,7 @@
         if who_deposes(nodes, leadership, now_us=now_us):
             changes += 1
             leadership = Leadership("n0", leadership.token + 1, now_us, succession.early_after(leadership, now_us))
-    assert 3 <= changes <= 8 and DAMP_US == 10 * SECOND_US
+    assert 3 <= changes <= 8 and TAKEOVER_PAUSE_US == 10 * SECOND_US
 
 
 def test_a_slow_leader_gives_way_to_one_that_is_faster_and_not_to_load():
@@ -162,7 +162,7 @@
     assert lag.us == 0
     for number in range(4):
         lag.fired(15_000_000 + number * 2_000_000)
-    assert lag.us > succession.SLOW_US
+    assert lag.us > succession.SLOW_TIMER_US
 
 
 class ScriptedStore:
