--- a/tests/region.py
+++ b/tests/region.py
@@ -1,4 +1,4 @@
-"""Two zones of machines that die, hang or are cut off, under one leader's decisions; a quarter of a second a step."""
+"""A simulation of two zones whose machines die, hang or are cut off, under one leader, in steps of 0.25 s."""
 
 import msgspec
 
@@ -11,21 +11,21 @@
 from tideusher.wire.workers import Commands
 
 UP, DEAD, HANGS, CUT_OFF = "up", "dead", "hangs", "cut"
-MUTE = "mute"  # its controller has ended: it answers calls and reports to nobody yet
+MUTE = "mute"  # its controller has ended: it answers calls but reports to no controller yet
 STEP_S = 0.25
-LIST_TELLS_S = 30.0
+LIST_DELAY_S = 30.0
 
 
 class Region(LeaderHarness):
-    """Machines report every two seconds; a call to one that is silent fails after 1.5 s, as the leader's do."""
+    """Machines report every two seconds; a call to a silent machine fails after 1.5 s, as in the leader."""
 
     def __init__(self, a=20, b=20, boot_s=20.0, idle_s=1e6):
         super().__init__(make_config(workers=WorkerSettings(2.0, 13.0, 40.0, 5.0, 38.0)))
-        self.specs, self.workers, self.is_, self.since = {}, {}, {}, {}
+        self.specs, self.workers, self.states, self.since = {}, {}, {}, {}
         self.rules = Rules(self.cluster.config, self.specs)
         self.calls, self.booting, self.rented, self.gone = {}, [], {}, {}
         self.cloud_answers, self.leads, self.list_lag_s = True, True, 2.0
-        self.lists, self.writes, self.none_left = True, True, set()  # (zone, spot) of which the cloud has none
+        self.lists, self.writes, self.none_left = True, True, set()  # (zone, spot) without capacity in the cloud
         self.idle_s = idle_s
         self.write_rate, self.budget, self.written = None, 0.0, 0
         self.boot_s, self.steps, self.most_calls, self.asked_list = boot_s, 0, 0, 0
@@ -41,7 +41,7 @@
     def add(self, name, zone, spot=False):
         worker = WorkerStandIn(name, zone, spot, self.specs, lease_s=13.0, answered_us=self.clock.now_us())
         self.workers[name] = worker
-        self.is_[name] = UP
+        self.states[name] = UP
 
     def start(self, *specs):
         for spec in specs:
@@ -49,28 +49,28 @@
             self.submit(spec)
         self.run(6)
 
-    def turn(self, names, what):
+    def set_state(self, names, what):
         for name in list(names):
             if name in self.workers:
-                self.is_[name], self.since[name] = what, self.clock.now_us()
+                self.states[name], self.since[name] = what, self.clock.now_us()
                 self.workers[name].dead = what == DEAD
 
-    def of(self, zone):
+    def machines_in(self, zone):
         return [name for name, worker in self.workers.items() if worker.zone == zone]
 
-    def up_of(self, spec):
-        """How many tasks of the job are on machines that are up."""
-        here = (t for n, w in self.workers.items() if self.is_[n] == UP for t in w.on_machine())
+    def running_tasks(self, spec):
+        """Returns how many tasks of the job are on machines that are up."""
+        here = (t for n, w in self.workers.items() if self.states[n] == UP for t in w.on_machine())
         return sum(task.job == spec.id for task in here)
 
     def next_leader(self):
         self.elect()
         self.types()
         self.calls.clear()
-        self.cluster.to_return  # noqa: B018  what it inherited is asked for in the next step
+        self.cluster.to_return  # noqa: B018  its inherited returns are requested in the next step
 
     def run(self, seconds, until=lambda: False):
-        """Time passes; returns how long, in seconds, until it was so."""
+        """Let time pass; returns the seconds until the condition held."""
         for step in range(round(seconds / STEP_S)):
             self._step()
             if until():
@@ -88,18 +88,18 @@
                 self.add(name, zone, spot)
         began = []
         for number, (name, worker) in enumerate(sorted(self.workers.items())):
-            if self.is_[name] == UP and self.leads and (self.steps + number) % 8 == 0:
+            if self.states[name] == UP and self.leads and (self.steps + number) % 8 == 0:
                 report = worker.report()
                 commands = Commands(self.cluster.token, Reports(self.cluster).answer(report, now))
                 worker.answer(commands, now, report.session)
-            if self.is_[name] in (UP, CUT_OFF, MUTE) and (self.steps + number) % 4 == 0:
-                began += [(worker, task) for task in worker.pass_time(now, 1.0, self._whole)]
+            if self.states[name] in (UP, CUT_OFF, MUTE) and (self.steps + number) % 4 == 0:
+                began += [(worker, task) for task in worker.pass_time(now, 1.0, self._is_complete)]
         self.rules.check(list(self.workers.values()), began, now)
         if self.leads:
             self._lead(now)
 
     def commit(self):
-        """As the leader's actor does; with a rate, no more than it in any second."""
+        """Commit as the leader's actor does; with a write rate, no more than that in any second."""
         self.cluster.writable = self.writes
         if not self.writes:
             return
@@ -117,12 +117,12 @@
             assert revision is not None
             self.cluster.write_queue.batch_committed(revision)
 
-    def _whole(self, task):
+    def _is_complete(self, task):
         ready = {
             t.index
             for n, w in self.workers.items()
             for t in w.on_machine()
-            if (t.job, t.attempt) == (task.job, task.attempt) and self.is_[n] != HANGS
+            if (t.job, t.attempt) == (task.job, task.attempt) and self.states[n] != HANGS
         }
         return len(ready) == self.specs[task.job].tasks
 
@@ -131,19 +131,19 @@
         for name, due in list(self.calls.items()):
             if due <= now:
                 del self.calls[name]
-                machine, is_ = cluster.machines.get(name), self.is_.get(name, DEAD)
-                if machine is not None and is_ in (UP, MUTE):
+                machine, state = cluster.machines.get(name), self.states.get(name, DEAD)
+                if machine is not None and state in (UP, MUTE):
                     cluster.mass_failures.answered(machine, now)
                     Reports(cluster).look(self.workers[name].report(), now)
                 elif machine is not None and cluster.health.is_suspect(machine, now):
-                    cluster.mass_failures.unanswered(machine, is_ == HANGS, due - 1_500_000, now)
-        look = cluster.review_silent_machines(now, set(self.calls))
-        for probe in look.probes:
-            wait_s = 0.0 if self.is_.get(probe.machine.name) in (UP, MUTE) else 1.5
+                    cluster.mass_failures.unanswered(machine, state == HANGS, due - 1_500_000, now)
+        review = cluster.review_silent_machines(now, set(self.calls))
+        for probe in review.probes:
+            wait_s = 0.0 if self.states.get(probe.machine.name) in (UP, MUTE) else 1.5
             self.calls[probe.machine.name] = now + round(wait_s * 1e6)
         self.most_calls = max(self.most_calls, len(self.calls))
-        self.asked_list += look.list_due
-        if self.lists and (look.list_due or self.steps % 8 == 0):
+        self.asked_list += review.list_due
+        if self.lists and (review.list_due or self.steps % 8 == 0):
             self._list(now)
         self.scheduler.schedule(now)
         self.commit()
@@ -154,7 +154,7 @@
     def _list(self, now):
         listing = []
         for name, worker in self.workers.items():
-            failed = self.is_[name] == DEAD and now - self.since[name] > (LIST_TELLS_S + self.list_lag_s) * 1e6
+            failed = self.states[name] == DEAD and now - self.since[name] > (LIST_DELAY_S + self.list_lag_s) * 1e6
             status = "failed" if failed else "running"
             listing.append(ListedMachine(name, "127.0.0.1:9", "m4", worker.zone, worker.spot, status, 100.0))
         self.cluster.listed(listing, now)
@@ -177,7 +177,7 @@
         names = [machine.name for machine in cluster.to_return]
         cluster.to_return.clear()
         for name in names:
-            self.gone[name] = self.is_.get(name, "booting")
+            self.gone[name] = self.states.get(name, "booting")
             if name in self.workers:
                 self.workers.pop(name).dead = True
         cluster.returned(names, now)
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -376,7 +376,7 @@
     assert not region.calls and not region.cluster.to_return
     region.run(6)
     assert len(region.cluster.machines) == 24 and not [m for m in region.cluster.machines.values() if m.drain_reason]
-    region.turn(region.of("a")[:5], HANGS)  # and who falls silent later is still looked for
+    region.set_state(region.machines_in("a")[:5], HANGS)  # and who falls silent later is still looked for
     region.run(12)
     assert region.most_calls
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The design's own rules: charges and ratios, order, parts, and who may be stopped."""
+"""The scheduling rules: charges and ratios, order, placement, preemption, gang reservations and rentals."""
 
 import pytest
 
@@ -51,14 +51,14 @@
 def test_charges_leave_the_window_and_survive_a_change_of_leader():
     ledger = Ledger([Team("red", gpus=8.0)], Policy(ledger__window_s=60.0), 0)
     ledger.charge("red", 30.0, SECOND_US)
-    heir = Ledger([Team("red", gpus=8.0)], Policy(ledger__window_s=60.0), 5 * SECOND_US)
-    heir.restore(ledger.to_value(5 * SECOND_US), 5 * SECOND_US, 5 * SECOND_US)
-    assert heir.charged("red") == 30.0
-    heir.gather([], 70 * SECOND_US)
-    assert heir.charged("red") == pytest.approx(0.0)
+    next_leader = Ledger([Team("red", gpus=8.0)], Policy(ledger__window_s=60.0), 5 * SECOND_US)
+    next_leader.restore(ledger.to_value(5 * SECOND_US), 5 * SECOND_US, 5 * SECOND_US)
+    assert next_leader.charged("red") == 30.0
+    next_leader.gather([], 70 * SECOND_US)
+    assert next_leader.charged("red") == pytest.approx(0.0)
 
 
-def test_a_swarm_is_charged_at_its_starts_not_when_its_time_has_accrued():
+def test_a_burst_of_starts_is_charged_at_once_not_as_run_time_accrues():
     ledger = Ledger([Team("red", gpus=8.0)], POLICY, 0)
     m = machine()
     ledger.set_fleet([m])
@@ -68,11 +68,11 @@
         ledger.charge_start(task, min_run(task.job), SECOND_US)
     assert ledger.ratio("red") > before
     charged = ledger.charged("red")
-    ledger.gather([(task, min_run(task.job))], 30 * SECOND_US)  # inside the minimum: paid already
+    ledger.gather([(task, min_run(task.job))], 30 * SECOND_US)  # within the minimum runtime, which is already charged
     assert ledger.charged("red") == charged
 
 
-def test_zero_runtime_work_is_free():
+def test_work_without_minimum_runtime_is_free():
     ledger = Ledger([Team("red", gpus=8.0)], POLICY, 0)
     task = running(job("batch"), machine())
     assert min_run(task.job) == 0
@@ -84,7 +84,7 @@
 # Order
 
 
-def test_the_lowest_ratio_goes_first_and_rank_decides_where_none_is_clearly_lower():
+def test_the_lowest_ratio_goes_first_and_rank_decides_within_the_margin():
     jobs = [
         Job(job("batch", team="spender", priority="critical"), 1, 0, 0),
         Job(job("batch", team="saver", priority="standard"), 1, 1, 0),
@@ -95,40 +95,40 @@
     order = order_jobs(jobs, ratios.__getitem__, lambda j: False, 0.1, lambda j: 0)
     assert [j.spec.team for j in order] == ["near", "saver", "spender", "none"]
     order = order_jobs(jobs, ratios.__getitem__, lambda j: j.spec.team == "spender", 0.1, lambda j: 0)
-    assert order[0].spec.team == "spender"  # within its guarantee it waits for nobody
+    assert order[0].spec.team == "spender"  # within its guarantee it goes first
 
 
 # Placement
 
 
-def test_jobs_go_to_the_roomiest_part_and_span_parts_only_when_none_holds_them():
+def test_jobs_go_to_the_partition_with_most_capacity_and_span_several_only_if_needed():
     names = [f"host-{i}" for i in range(40)]
     big = [machine(name) for name in names if part_of(name, 2) == 1][:5]
     small = [machine(name) for name in names if part_of(name, 2) == 0][:3]
     machines = [*small, *big]
-    room = FreeCapacity(machines, 2)
+    pool = FreeCapacity(machines, 2)
     gang = Job(job("gang", 2, gpus=4.0), 1, 0, 0)
-    assert {m.name for m in room.place(gang, 2, True, lambda m: True, None)} <= {m.name for m in big}
+    assert {m.name for m in pool.place(gang, 2, True, lambda m: True, None)} <= {m.name for m in big}
     wide = Job(job("gang", 8, gpus=4.0), 1, 0, 0)
-    assert len(room.place(wide, 8, True, lambda m: True, None)) == 8
+    assert len(pool.place(wide, 8, True, lambda m: True, None)) == 8
 
 
-def test_zones_kinds_and_spread_hold_given_the_jobs_other_tasks():
+def test_zone_kind_and_spread_rules_consider_the_jobs_other_tasks():
     machines = [machine("host-1", "a"), machine("host-2", "a", spot=True), machine("host-3", "b")]
-    room = FreeCapacity(machines, 1)
+    pool = FreeCapacity(machines, 1)
     spread = Job(job("service", 4, spread=True), 1, 0, 0)
-    chosen = room.place(spread, 4, False, lambda m: True, 2)
+    chosen = pool.place(spread, 4, False, lambda m: True, 2)
     assert sorted(m.zone for m in chosen) == ["a", "a", "b", "b"] and not any(m.spot for m in chosen)
     one = Job(job("gang", 5, one_zone=True, spot=True), 1, 0, 0)
-    assert {m.zone for m in room.place(one, 5, True, lambda m: True, None)} == {"a"}
+    assert {m.zone for m in pool.place(one, 5, True, lambda m: True, None)} == {"a"}
     stuck = Job(job("gang", 2, one_zone=True, spot=True), 1, 0, 0)
     old = Task(stuck, 0, 1, machines[2], SEEN, 0)
     stuck.take(old)
-    assert {m.zone for m in room.place(stuck, 1, False, lambda m: True, None)} == {"b"}
+    assert {m.zone for m in pool.place(stuck, 1, False, lambda m: True, None)} == {"b"}
 
 
 def test_a_machine_fetches_one_image_at_a_time():
-    # Two first fetches on one machine once doubled the start time of both.
+    # Two concurrent fetches on one machine doubled the start time of both.
     busy, free = machine("host-1"), machine("host-2")
     task = running(job("service", image="other"), busy)
     task.running_us, task.state = None, "pulling"
@@ -137,19 +137,19 @@
     assert FreeCapacity([busy], 1).place(Job(job("service"), 1, 0, 0), 1, False, lambda m: True, None) == []
 
 
-def test_a_machine_holds_the_images_used_last_as_far_as_its_cache_goes():
+def test_the_image_cache_of_a_machine_evicts_the_least_recently_used():
     m = machine()
     task = running(job("service", image="img-1", image_gb=20.0), m)
     for image in ("img-1", "img-2", "img-3"):
         m.used_image(image, 20.0, 50.0)
-    assert list(m.images) == ["img-1", "img-3"]  # the first is in use, so the second went
+    assert list(m.images) == ["img-1", "img-3"]  # the first is in use, so the second was evicted
     m.remove(task)
     m.used_image("img-3", 20.0, 50.0)
     m.used_image("img-4", 20.0, 50.0)
     assert list(m.images) == ["img-3", "img-4"]
 
 
-def test_work_goes_past_a_machine_that_runs_its_tasks_slower_than_others():
+def test_slow_machines_are_used_last():
     slow, fair = machine("host-1"), machine("host-2")
     slow.images["img-1"] = fair.images["img-1"] = 2.0
     array = Job(job("batch", 12), 1, 0, 0)
@@ -157,8 +157,8 @@
         fair.completed(array, 60 * SECOND_US)
         slow.completed(array, 120 * SECOND_US)
     assert slow.slow and not fair.slow
-    room = FreeCapacity([slow, fair], 1)
-    assert [m.name for m in room.place(array, 5, False, lambda m: True, None)] == ["host-2"] * 4 + ["host-1"]
+    pool = FreeCapacity([slow, fair], 1)
+    assert [m.name for m in pool.place(array, 5, False, lambda m: True, None)] == ["host-2"] * 4 + ["host-1"]
     for _ in range(6):
         slow.completed(array, 60 * SECOND_US)
     assert not slow.slow
@@ -167,36 +167,36 @@
 # Preemption
 
 
-def allowed(request, victim, asking=(0.0, True), holding=(0.0, True), now_us=10**12):
-    def standing(team):
-        return TeamStanding(*asking) if team == request.spec.team else TeamStanding(*holding)
+def allowed(request, victim, requesting=(0.0, True), holder=(0.0, True), now_us=10**12):
+    def team_state(team):
+        return TeamStanding(*requesting) if team == request.spec.team else TeamStanding(*holder)
 
-    judge = PreemptibleTasks([victim.job], standing, min_run, POLICY, now_us)
-    return victim in judge.of(request, standing(request.spec.team))
+    preemptible = PreemptibleTasks([victim.job], team_state, min_run, POLICY, now_us)
+    return victim in preemptible.of(request, team_state(request.spec.team))
 
 
-def test_a_stop_needs_the_designs_rule_and_the_protocols_bounds():
+def test_preemption_needs_the_designs_rule_and_the_protocols_bounds():
     service = Job(job("service", team="blue", priority="critical"), 1, 0, 0)
     batch = running(job("batch", team="red"), machine())
-    assert allowed(service, batch)  # free work, higher rank
+    assert allowed(service, batch)  # no minimum runtime, higher rank
     same = Job(job("gang", team="blue", priority="standard"), 1, 0, 0)
     assert not allowed(same, batch)  # same rank, and red is within its guarantee
-    assert allowed(same, batch, holding=(0.0, False))  # red borrows, blue claims its guarantee
+    assert allowed(same, batch, holder=(0.0, False))  # red exceeds its guarantee, blue claims its own
     assert not allowed(Job(job("batch", team="blue", priority="critical"), 1, 0, 0), batch)  # not funded
     gang = running(job("gang", team="red", estimate_s=60.0), machine())
     assert not allowed(service, gang, now_us=30 * SECOND_US)  # protected
-    assert not allowed(service, gang, asking=(0.3, True), holding=(0.35, True))  # not clearly lower
-    assert allowed(service, gang, asking=(0.2, True), holding=(0.35, True))
+    assert not allowed(service, gang, requesting=(0.3, True), holder=(0.35, True))  # not clearly lower
+    assert allowed(service, gang, requesting=(0.2, True), holder=(0.35, True))
 
 
-def test_windows_begun_in_one_burst_do_not_end_together():
+def test_protection_windows_begun_in_one_burst_do_not_end_together():
     gangs = [running(job("gang", estimate_s=100.0, gpus=0.1, cpus=0.1), machine(), 0) for _ in range(50)]
     ends = sorted(protected_until_us(t, min_run(t.job), POLICY.preempt__stagger) for t in gangs)
     assert ends[0] >= 100 * SECOND_US and ends[-1] <= 125 * SECOND_US
     assert len({end // SECOND_US for end in ends}) > 12
 
 
-def test_the_fewest_tasks_stop_in_one_zone_and_a_gang_stops_whole():
+def test_the_fewest_tasks_stop_in_one_zone_and_a_gang_stops_entirely():
     a, b = machine("host-1", "a"), machine("host-2", "b")
     for index in range(4):
         running(job("batch", gpus=1.0), a, index=index)
@@ -209,36 +209,36 @@
     everything = {*a.tasks.values(), *b.tasks.values()}
     machines, victims = choose_victims(request, 1, [a, b], {}, everything, Offers(lambda t: 0))
     assert machines == [b] and set(victims) == {first, second}
-    # What was stopped for the request already is not stopped for again.
+    # Capacity that earlier stops free for the request causes no further stops.
     assert choose_victims(request, 1, [a, b], {"host-2": [16.0, 4.0, 64.0]}, everything, Offers(lambda t: 0))[1] == []
 
 
-# Gathering
+# Gang reservations
 
 
-def test_what_is_free_is_held_for_a_gang_until_the_rest_has_come():
+def test_free_machines_are_held_for_a_gang_until_the_rest_is_available():
     free = [machine(f"host-{i}", "a") for i in range(3)] + [machine("host-8", "b")]
     busy = machine("host-4", "a")
     running(job("batch", gpus=4.0), busy)
     gang = Job(job("gang", 4, gpus=4.0, one_zone=True), 1, 0, 0)
     second = Job(job("gang", 2, gpus=4.0, one_zone=True), 1, 0, 0)
-    room = GangReservations()
-    requests = room.update([(gang, 4), (second, 2)], [*free, busy], [*free, busy], lambda j, zone: NONE)
-    assert {name: holder for name, holder in room.held.items()} == {f"host-{i}": gang for i in range(3)}
+    pool = GangReservations()
+    requests = pool.update([(gang, 4), (second, 2)], [*free, busy], [*free, busy], lambda j, zone: NONE)
+    assert {name: holder for name, holder in pool.held.items()} == {f"host-{i}": gang for i in range(3)}
     assert [(r.job, r.count, r.zone) for r in requests] == [(gang, 1, "a"), (second, 2, "a")]
     place = {second.spec.id: 2, gang.spec.id: 1, "req-000000": 0}
     first = Job(job("service", id="req-000000"), 1, 0, 0)
-    assert room.may_use(gang, free[0], place) and not room.may_use(second, free[0], place)
-    assert room.may_use(first, free[0], place)  # who is ahead in the queue may take it
-    # Where only the dearer kind can be rented is not chosen for a part of the room.
-    cheap = room.update([(gang, 4)], free, free, lambda j, zone: BEST if zone == "b" else OTHER)
+    assert pool.may_use(gang, free[0], place) and not pool.may_use(second, free[0], place)
+    assert pool.may_use(first, free[0], place)  # a job ahead in the queue may use it
+    # A zone where only the more expensive kind can be rented is not chosen for part of the capacity.
+    cheap = pool.update([(gang, 4)], free, free, lambda j, zone: BEST if zone == "b" else OTHER)
     assert cheap == [Request(gang, 3, "b")]
-    # With nothing anywhere the plan decides.
-    assert room.update([(gang, 4)], [], [], lambda j, zone: BEST) == [Request(gang, 4)]
-    # A zone that can never hold the gang is not chosen for the room that it has now.
+    # Without capacity anywhere the rental plan decides.
+    assert pool.update([(gang, 4)], [], [], lambda j, zone: BEST) == [Request(gang, 4)]
+    # A zone that can never hold the gang is not chosen for its current capacity.
     wide = Job(job("gang", 5, gpus=4.0, one_zone=True), 1, 0, 0)
     assert (
-        room.update([(wide, 5)], [*free, busy], [*free, busy], lambda j, zone: BEST if zone == "b" else NONE)[0].zone
+        pool.update([(wide, 5)], [*free, busy], [*free, busy], lambda j, zone: BEST if zone == "b" else NONE)[0].zone
         == "b"
     )
 
@@ -246,7 +246,7 @@
 # Fleet
 
 
-def test_refused_kinds_are_left_alone_for_longer_each_time():
+def test_refused_kinds_back_off_for_longer_each_time():
     fleet = Fleet(POLICY, make_config().settings.objectives)
     kind, pauses, now = ("m4", "a", True), [], 0
     for _ in range(3):
@@ -260,12 +260,12 @@
     assert fleet.available(kind, now)
 
 
-def test_rents_cheap_where_allowed_ordinary_where_not_and_nothing_for_booting_room():
+def test_rents_spot_where_allowed_ordinary_elsewhere_and_nothing_for_booting_capacity():
     fleet = Fleet(POLICY, [])
     fleet.types = {TYPE.name: TYPE}
     batch, service = Job(job("batch", 4, spot=True), 1, 0, 0), Job(job("service", 2, spread=True), 1, 0, 0)
-    wishes = fleet.plan(0, [Request(batch, 4), Request(service, 2)], [], [])
-    assert {(w.spot, w.count) for w in wishes} == {(True, 1), (False, 1)} and sum(w.count for w in wishes) == 3
+    rentals = fleet.plan(0, [Request(batch, 4), Request(service, 2)], [], [])
+    assert {(w.spot, w.count) for w in rentals} == {(True, 1), (False, 1)} and sum(w.count for w in rentals) == 3
     booting = machine()
     booting.phase = "booting"
     assert fleet.plan(0, [Request(batch, 4)], [booting], []) == []
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""What was made cheaper for large fleets decides as its plain definition does, on seeded random fleets."""
+"""Optimizations for large fleets decide as their plain definitions do, on seeded random fleets."""
 
 import random
 
@@ -29,7 +29,7 @@
 
 
 def fleet_of(rng, size):
-    """Machines filled at random with services, arrays and gangs of three teams; returns machines and jobs."""
+    """Returns machines filled at random with services, arrays and gangs of three teams, and the jobs."""
     machines = []
     for number in range(size):
         spot = rng.random() < 0.4
@@ -66,27 +66,27 @@
     return machines, jobs
 
 
-def minimum(one):
+def min_run(one):
     return POLICY.min_run_us(one.spec.shape, one.spec.estimate_s, one.spec.min_run_s)
 
 
-def plainly_allowed(request, victim, standing, now_us):
-    """The rule of the design and the bounds of the protocol, for one task, in their own order."""
+def allowed_by_definition(request, victim, team_state, now_us):
+    """Returns whether the design's rule and the protocol's bounds allow preempting one task, without caches."""
     one = victim.job
     if one is request or victim.halt_grace_s is not None or victim.phase == COMMITTING:
         return False
-    asking, holding = standing(request.spec.team), standing(one.spec.team)
-    claims = request.spec.team != one.spec.team and asking.within_guarantee and not holding.within_guarantee
-    if not (request.spec.rank < one.spec.rank or claims) or not minimum(request):
+    requesting, holder = team_state(request.spec.team), team_state(one.spec.team)
+    claims = request.spec.team != one.spec.team and requesting.within_guarantee and not holder.within_guarantee
+    if not (request.spec.rank < one.spec.rank or claims) or not min_run(request):
         return False
-    if not minimum(one):
+    if not min_run(one):
         return True
-    over = protected_until_us(victim, minimum(one), POLICY.preempt__stagger) <= now_us
-    return over and asking.ratio + POLICY.margin <= holding.ratio
+    over = protected_until_us(victim, min_run(one), POLICY.preempt__stagger) <= now_us
+    return over and requesting.ratio + POLICY.margin <= holder.ratio
 
 
-def plainly_chosen(request, count, machines, allowed):
-    """One machine after the other: each time the one that costs the fewest stops, then the first by name."""
+def chosen_by_definition(request, count, machines, allowed):
+    """Chooses one machine after the other, each time the one with the fewest stops, then the first by name."""
     chosen, stopped = [], []
     while len(chosen) < count:
         best = None
@@ -117,76 +117,76 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_the_same_is_stopped_as_when_every_task_is_judged_for_every_place(seed):
+def test_cached_preemption_chooses_the_same_victims_as_the_definition(seed):
     rng = random.Random(seed)
     machines, jobs = fleet_of(rng, 40)
-    standings = {team: TeamStanding(rng.random(), rng.random() < 0.5) for team in ("red", "blue", "poor")}
+    team_states = {team: TeamStanding(rng.random(), rng.random() < 0.5) for team in ("red", "blue", "poor")}
     now_us = 20 * SECOND_US
-    judge = PreemptibleTasks(jobs, standings.__getitem__, minimum, POLICY, now_us)
+    preemptible = PreemptibleTasks(jobs, team_states.__getitem__, min_run, POLICY, now_us)
     offers = Offers(lambda t: 0)
-    for team, again in [(team, again) for again in range(2) for team in standings]:
+    for team, second_round in [(team, second_round) for second_round in range(2) for team in team_states]:
         spec = job("service", 4, team=team, priority="urgent", gpus=float(rng.choice([1, 2, 4])), estimate_s=0.0)
         request = Job(spec, 1, 0, 0)
-        victims = judge.of(request, standings[team])
+        victims = preemptible.of(request, team_states[team])
         every = [task for one in jobs for task in one.live.values()]
         gangs_whole = {
             task
             for task in every
             if all(
-                plainly_allowed(request, member, standings.__getitem__, now_us)
+                allowed_by_definition(request, member, team_states.__getitem__, now_us)
                 for member in (task.job.live.values() if task.job.is_gang else [task])
             )
         }
         assert victims == gangs_whole
         got = choose_victims(request, 4, machines, {}, victims, offers)
-        want = plainly_chosen(request, 4, machines, gangs_whole.__contains__)
-        assert ([m.name for m in got[0]], got[1]) == ([m.name for m in want[0]], want[1])
-        for task in got[1] if again else ():
-            task.halt_grace_s = 0.0  # what is stopped for one is judged anew for the next
-        if got[1] and again:
-            judge.changed()
+        expected = chosen_by_definition(request, 4, machines, gangs_whole.__contains__)
+        assert ([m.name for m in got[0]], got[1]) == ([m.name for m in expected[0]], expected[1])
+        for task in got[1] if second_round else ():
+            task.halt_grace_s = 0.0  # a task stopped for one request is not available to the next
+        if got[1] and second_round:
+            preemptible.changed()
             offers.changed()
 
 
-def test_what_may_be_stopped_is_judged_once_for_all_who_stand_alike(monkeypatch):
-    """Each of 50 waiting jobs once had every running task judged anew: 40 ms of each pass of a small leader."""
+def test_preemptible_tasks_are_computed_once_per_team_state(monkeypatch):
+    """Checking every running task for each of 50 waiting jobs took 40 ms of each pass of a small leader."""
     machines, jobs = fleet_of(random.Random(3), 40)
-    judged = []
+    evaluated = []
 
     def counted(one):
-        judged.append(one.spec.id)
-        return minimum(one)
+        evaluated.append(one.spec.id)
+        return min_run(one)
 
-    standing = {"red": TeamStanding(0.1, True), "blue": TeamStanding(0.9, False), "poor": TeamStanding(0.9, False)}
-    judge = PreemptibleTasks(jobs, standing.__getitem__, counted, POLICY, 20 * SECOND_US)
+    team_state = {"red": TeamStanding(0.1, True), "blue": TeamStanding(0.9, False), "poor": TeamStanding(0.9, False)}
+    preemptible = PreemptibleTasks(jobs, team_state.__getitem__, counted, POLICY, 20 * SECOND_US)
     requests = [Job(job("service", 1, priority="urgent", estimate_s=0.0), 1, 0, 0) for _ in range(50)]
-    # Half of them stand a little differently, and may claim the same.
-    asking = [TeamStanding(0.1 + 0.01 * (number % 2), True) for number in range(50)]
-    found = [judge.of(request, one) for request, one in zip(requests, asking, strict=True)]
+    # Half of them have a slightly different team state and may preempt the same tasks.
+    requesting = [TeamStanding(0.1 + 0.01 * (number % 2), True) for number in range(50)]
+    found = [preemptible.of(request, one) for request, one in zip(requests, requesting, strict=True)]
     shared = all(victims is found[0] for victims in found)
-    # (What is compared below are numbers and names: a failure that prints a fleet takes minutes.)
+    # Only numbers and names are compared below: printing a fleet on failure takes minutes.
     assert shared and len(found[0]) > 0
     jobs_once = len(jobs) + len(requests)
-    judged_so_far = len(judged)
-    assert judged_so_far == jobs_once
-    looked = []
+    evaluated_so_far = len(evaluated)
+    assert evaluated_so_far == jobs_once
+    scanned = []
     once = preempt._on_machine
-    monkeypatch.setattr(preempt, "_on_machine", lambda *args: looked.append(args[1].name) or once(*args))
+    monkeypatch.setattr(preempt, "_on_machine", lambda *args: scanned.append(args[1].name) or once(*args))
     offers = Offers(lambda t: 0)
     chosen = [choose_victims(request, 1, machines, {}, found[0], offers) for request in requests]
     names = [([m.name for m in room], [t.name for t in stopped]) for room, stopped in chosen]
     assert names[0][1] and names.count(names[0]) == len(requests)
-    holding = {task.machine.name for task in found[0]}
-    assert sorted(looked) == sorted(holding)  # each machine once, not for each request
-    judge.changed()
-    same = judge.of(requests[0], standing["red"]) == found[0]
-    judged_again = len(judged) - judged_so_far
+    holder = {task.machine.name for task in found[0]}
+    assert sorted(scanned) == sorted(holder)  # each machine once, not once per request
+    preemptible.changed()
+    same = preemptible.of(requests[0], team_state["red"]) == found[0]
+    evaluated_again = len(evaluated) - evaluated_so_far
     jobs_again = len(jobs) + 1
-    assert same and judged_again == jobs_again
+    assert same and evaluated_again == jobs_again
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_bins_are_filled_in_the_order_in_which_sorting_them_anew_would_fill_them(seed):
+def test_bins_are_filled_in_the_order_of_sorting_them_each_time(seed):
     rng = random.Random(seed)
 
     def some_bins():
@@ -200,7 +200,7 @@
     specs = [job("batch", gpus=float(rng.choice([1, 2])), spot=rng.random() < 0.5) for _ in range(12)]
     bins = Bins(kept, Demand.least_of(specs))
     for spec in specs:
-        left = want = rng.randrange(1, 6)
+        left = expected = rng.randrange(1, 6)
         for bin in sorted(plain, key=lambda b: (not b.spot, b.gpus)):
             while left and bin.allows(spec) and slots_in(bin.cpus, bin.gpus, bin.ram, spec):
                 Fleet._take(bin, spec, {})
@@ -212,20 +212,20 @@
             Fleet._take(bin, spec, {})
             return True
 
-        assert bins.fill(want, lambda bin, spec=spec: bin.allows(spec), take) == left
+        assert bins.fill(expected, lambda bin, spec=spec: bin.allows(spec), take) == left
         assert kept == plain
 
 
-def test_a_report_of_a_calm_machine_costs_no_look_at_the_others():
-    """A leader once looked through the whole fleet after each report of each machine."""
+def test_a_report_without_changes_does_not_scan_the_fleet():
+    """A leader scanned the entire fleet after each report of each machine."""
     harness = LeaderHarness()
     cluster = harness.cluster
-    looked = 0
+    scanned = 0
 
     class Counted(dict):
         def values(self):
-            nonlocal looked
-            looked += 1
+            nonlocal scanned
+            scanned += 1
             return super().values()
 
     machines = Counted()
@@ -235,10 +235,10 @@
     for serial in (1, 2):
         for number in range(50):
             harness.report(f"host-{number}", serial)
-    assert len(machines) == 50 and looked == 0
+    assert len(machines) == 50 and scanned == 0
 
 
-def test_into_a_silent_zone_few_probes_go_at_a_time():
+def test_a_silent_zone_gets_few_probes_at_a_time():
     harness = LeaderHarness()
     clock, cluster = harness.clock, harness.cluster
     for number in range(40):
@@ -250,8 +250,8 @@
     assert cluster.review_silent_machines(clock.now_us(), probing).probes == []
 
 
-def test_the_largest_records_stay_within_the_smallest_value_limit_seen():
-    """A full chunk with its stops, and a rental of which every machine is being returned: 4 KiB at most."""
+def test_the_largest_records_fit_the_smallest_value_limit():
+    """A full chunk with its stops, and a rental with all machines being returned, take at most 4 KiB."""
     machines = [
         Machine(f"host-{900000 + n}", TYPE.name, "a", False, "r", 64.0, 64.0, 512.0, 0) for n in range(CHUNK_TASKS)
     ]
@@ -269,7 +269,7 @@
     assert len(msgspec.json.encode(rental.value())) <= 4096
 
 
-def test_one_transaction_keeps_within_writes_conditions_and_bytes():
+def test_a_transaction_stays_within_the_limits_of_writes_conditions_and_bytes():
     harness = LeaderHarness()
     clock, cluster = harness.clock, harness.cluster
     ops = cluster.config.settings.state.txn_ops
@@ -288,8 +288,8 @@
     assert sum(key.startswith(keys.CHUNK_PREFIX) for key in written) == ops + 1
 
 
-def test_rentals_wait_for_the_cloud_and_go_out_together():
-    """79 small rentals once queued at the cloud when a whole fleet was wanted at the start."""
+def test_rentals_wait_for_the_cloud_and_are_sent_together():
+    """79 small rentals queued at the cloud when an entire fleet was needed at the start."""
     harness = LeaderHarness()
     clock, cluster = harness.clock, harness.cluster
     cloud_rps = cluster.config.settings.cloud.rps
@@ -306,7 +306,7 @@
     assert 0 < len(rest) <= 2 and asked + sum(rental.count for rental in rest) == 3 * cloud_rps
 
 
-def test_spot_able_work_leaves_ordinary_room_to_who_waits_for_it_and_takes_what_they_cannot_use():
+def test_spot_work_leaves_ordinary_capacity_to_waiting_jobs_unless_they_cannot_use_it():
     harness = LeaderHarness()
     clock, cluster = harness.clock, harness.cluster
     for name in ("host-1", "host-2"):
@@ -315,29 +315,29 @@
     harness.scheduler.schedule(clock.now_us())
     wide = harness.submit(job("gang", 2, gpus=4.0, cpus=12.0, one_zone=True, team="poor", priority="urgent"))
     harness.scheduler.schedule(clock.now_us())
-    assert not wide.live and wide.pending == 2  # one machine is whole, and another is asked for
+    assert not wide.live and wide.pending == 2  # one machine is empty, and another is requested
     batch = harness.submit(job("batch", 4, spot=True, team="blue"))
     harness.scheduler.schedule(clock.now_us())
     (half,) = [m.name for m in cluster.machines.values() if any(t.job.is_service for t in m.tasks.values())]
     assert {task.machine.name for task in batch.live.values()} == {half} and len(batch.live) == 3
 
 
-def test_gangs_that_ask_for_the_same_share_one_look_at_the_fleet(monkeypatch):
-    """Each waiting gang once counted on every machine what its ending work would leave: a day took too long."""
+def test_gangs_with_the_same_demand_share_one_scan_of_the_fleet(monkeypatch):
+    """Each waiting gang computed for every machine what its ending work would free: a day took too long."""
     machines, _ = fleet_of(random.Random(1), 30)
-    looks = []
+    scans = []
     once_idle = gang_reservations._slots_once_idle
-    monkeypatch.setattr(gang_reservations, "_slots_once_idle", lambda m, j: looks.append(m.name) or once_idle(m, j))
+    monkeypatch.setattr(gang_reservations, "_slots_once_idle", lambda m, j: scans.append(m.name) or once_idle(m, j))
     gangs = [(Job(job("gang", 8, gpus=4.0, cpus=12.0, one_zone=True), 1, 0, 0), 8) for _ in range(10)]
     requests = gang_reservations.GangReservations().update(
         gangs, machines, machines, lambda j, zone: gang_reservations.NONE
     )
     assert [request.job for request in requests] == [gang for gang, _ in gangs]
-    assert 0 < len(looks) <= len(machines)
+    assert 0 < len(scans) <= len(machines)
 
 
-def waiting_bed(seed):
-    """A leader with machines that are up and more work than they hold."""
+def busy_leader(seed):
+    """Returns a leader with machines that are up and more work than they can hold."""
     rng = random.Random(seed)
     harness = LeaderHarness()
     for number in range(30):
@@ -370,8 +370,8 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_pass_in_pieces_decides_as_one_at_once(seed, monkeypatch):
-    at_once, in_pieces = waiting_bed(seed), waiting_bed(seed)
+def test_a_pass_in_steps_decides_as_an_undivided_one(seed, monkeypatch):
+    at_once, in_pieces = busy_leader(seed), busy_leader(seed)
     monkeypatch.setattr(scheduler, "PIECE_LOOKS", 10**9)
     at_once.scheduler.schedule(at_once.clock.now_us())
     monkeypatch.setattr(scheduler, "PIECE_LOOKS", 40)
@@ -381,11 +381,11 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_who_asks_for_what_another_was_refused_is_refused_without_a_look(seed, monkeypatch):
-    """The same is placed, stopped, held and rented as when every job looks for itself, in pass after pass."""
+def test_the_refusal_cache_changes_no_decision(seed, monkeypatch):
+    """Placements, stops, holds and rentals are the same as without the cache, in pass after pass."""
 
     def played(plain):
-        harness = waiting_bed(seed)
+        harness = busy_leader(seed)
         with monkeypatch.context() as patch:
             if plain:
                 patch.setattr(RefusalCache, "refuses", lambda self, kind, spec, count: False)
@@ -400,51 +400,51 @@
     assert played(plain=True) == played(plain=False)
 
 
-def test_a_flood_of_one_class_costs_few_looks_and_passes_rest(monkeypatch):
-    """Eighty times a class once took a leader more than 400 s of processor time: each job looked in each pass."""
+def test_many_jobs_of_one_class_cost_few_scans_and_passes_pause(monkeypatch):
+    """Eighty times a class's load took a leader over 400 s of processor time: each job searched in each pass."""
     harness = LeaderHarness()
     for number in range(20):
         harness.report(f"host-{number}", 1)
     for _ in range(600):
         harness.submit(job("service", 1, cpus=16.0, gpus=3.0, team="poor", priority="critical"))
     harness.scheduler.schedule(harness.clock.now_us())
-    looks = []
+    scans = []
     place = FreeCapacity.place
-    monkeypatch.setattr(FreeCapacity, "place", lambda room, *more: looks.append(1) or place(room, *more))
+    monkeypatch.setattr(FreeCapacity, "place", lambda room, *more: scans.append(1) or place(room, *more))
     pass_steps = sum(1 for _ in harness.scheduler.pass_steps(harness.clock.now_us()))
-    assert len(looks) <= 2 and sum(one.waits for one in harness.cluster.active.values()) == 580
+    assert len(scans) <= 2 and sum(one.waits for one in harness.cluster.active.values()) == 580
     assert (
         harness.scheduler.pause_us(pass_steps) == 580 * scheduler.PAUSE_PER_JOB_US
     )  # at most a tenth of a second for as many
-    # A place that comes free is looked at again at once.
+    # Capacity that becomes free is considered again at once.
     (task,) = next(one for one in harness.cluster.active.values() if one.live).live.values()
-    before, looks[:] = harness.cluster.capacity_changes, []
+    before, scans[:] = harness.cluster.capacity_changes, []
     harness.cluster.free(task, harness.clock.now_us())
     harness.scheduler.schedule(harness.clock.now_us())
-    assert harness.cluster.capacity_changes == before + 1 and len(looks) >= 1 and task.machine.tasks
+    assert harness.cluster.capacity_changes == before + 1 and len(scans) >= 1 and task.machine.tasks
 
 
-def test_no_piece_looks_at_more_machines_than_its_bound_and_one_job_more(monkeypatch):
-    """A whole pass once held a leader of 570 machines for 0.1 s, in which it served nobody."""
-    harness = waiting_bed(7)
-    looks = 0
+def test_a_step_scans_no_more_than_its_limit_and_one_more_job(monkeypatch):
+    """An undivided pass blocked a leader of 570 machines for 0.1 s, in which it answered nothing."""
+    harness = busy_leader(7)
+    scans = 0
     place = FreeCapacity.place
 
     def counted(room, *arguments):
-        nonlocal looks
-        looks += len(room._all)
+        nonlocal scans
+        scans += len(room._all)
         return place(room, *arguments)
 
     monkeypatch.setattr(FreeCapacity, "place", counted)
     monkeypatch.setattr(scheduler, "PIECE_LOOKS", 100)
     most = before = 0
     for _ in harness.scheduler.pass_steps(harness.clock.now_us()):
-        most, before = max(most, looks - before), looks
-    assert looks > 300 and 0 < most <= 100 + 2 * 30  # a job may look twice
+        most, before = max(most, scans - before), scans
+    assert scans > 300 and 0 < most <= 100 + 2 * 30  # a job may search twice
 
 
-def test_what_changes_in_a_pause_is_not_used(monkeypatch):
-    """Between two pieces a machine's return may be asked and a job cancelled: neither is touched again."""
+def test_machines_and_jobs_that_change_during_a_pause_are_not_used(monkeypatch):
+    """Between two steps a machine may be returned and a job cancelled: neither is used again."""
     monkeypatch.setattr(scheduler, "PIECE_LOOKS", 1)
     harness = LeaderHarness()
     clock, cluster = harness.clock, harness.cluster
@@ -452,22 +452,22 @@
     harness.report("host-2", 1)
     first, second, third = (harness.submit(job("service", 1, gpus=2.0, cpus=8.0)) for _ in range(3))
     harness.commit()
-    going = harness.scheduler.pass_steps(clock.now_us())
+    steps = harness.scheduler.pass_steps(clock.now_us())
     while not any(one.live for one in (first, second, third)):
-        next(going)
+        next(steps)
     ((used,),) = [[t.machine for t in one.live.values()] for one in (first, second, third) if one.live]
     waiting = [one for one in (first, second, third) if not one.live]
     cluster.request_return(used, "a test asks for it")
     assert harness.state.cancel(waiting[0].spec.id)
     harness.see_jobs()
-    for _ in going:
+    for _ in steps:
         pass
     assert not waiting[0].live
     assert [t.machine.name for t in waiting[1].live.values()] == [{"host-1": "host-2", "host-2": "host-1"}[used.name]]
 
 
-class Slices:
-    """A scheduler whose pass has four pieces."""
+class FourStepScheduler:
+    """A scheduler whose pass has four steps."""
 
     def __init__(self, done):
         self.done = done
@@ -482,7 +482,7 @@
         self.done.append("end")
 
 
-def test_a_leader_answers_reports_between_the_pieces_of_a_pass():
+def test_a_leader_answers_reports_between_the_steps_of_a_pass():
     harness = LeaderHarness()
     done = []
 
@@ -497,7 +497,7 @@
 
     leader = Leader(harness.cluster.config, POLICY, harness.clock, Store(), Election(), None, Metrics())
     leader._engine = engine = harness.engine()
-    engine.scheduler = Slices(done)
+    engine.scheduler = FourStepScheduler(done)
     leader._act = lambda engine: None
     served = gevent.spawn(leader._serve)
     leader.tell("tick")
@@ -508,21 +508,21 @@
         gevent.sleep(0)
         if len(done) > 40:
             break
-    leader.tell("tick")  # the last one is over: the next may begin
+    leader.tell("tick")  # the previous pass is over: the next may begin
     while done.count("end") < 1:
         gevent.sleep(0)
     served.kill()
     pass_steps = [one for one in done if one != "report"]
     assert pass_steps[:4] == ["piece 0", "piece 1", "piece 2", "end"]
     assert "report" in done[: done.index("end")]
-    # One that stepped down in between does not go on with the old pass.
-    leader._engine, engine._pass = None, Slices(done).pass_steps(0)
+    # A leader that stepped down in between does not continue the old pass.
+    leader._engine, engine._pass = None, FourStepScheduler(done).pass_steps(0)
     leader.on_continue_pass(engine)
     assert done.count("end") == 1 and done.count("piece 0") == 1
 
 
-def test_a_machine_of_which_nobody_told_the_address_counts_as_not_answering(monkeypatch):
-    """A probe of one that the cloud lists no more would have failed for its empty address, for ever."""
+def test_a_machine_without_a_known_address_counts_as_not_answering(monkeypatch):
+    """A probe of a machine that the cloud no longer lists would fail forever because of its empty address."""
     monkeypatch.setattr(gevent, "sleep", lambda seconds: None)
     harness = LeaderHarness()
     leader = Leader(harness.cluster.config, POLICY, harness.clock, None, None, None, Metrics())
@@ -536,14 +536,14 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_a_shelf_gives_the_machines_that_a_look_at_all_of_them_gives(seed):
+def test_the_placement_cache_chooses_the_same_machines_as_a_full_scan(seed):
     rng = random.Random(seed)
     machines, _ = fleet_of(rng, rng.choice([3, 20, 60]))
     for one in machines:
         one.images["img-1"] = 2.0
         one.relative_runtime = rng.choice([1.0, 1.0, 2.0])
     parts = rng.choice([1, 2, 5])
-    room, shelf = FreeCapacity(machines, parts), PlacementCache(machines, parts)
+    room, cache = FreeCapacity(machines, parts), PlacementCache(machines, parts)
     plain = 0
     for _ in range(80):
         fields = {
@@ -556,19 +556,19 @@
         spec = job(tasks=rng.choice([1, 1, 3, 40]), **fields)
         one, count = Job(spec, 1, 0, 0), rng.choice([spec.tasks, 1])
         expected = room.place(one, count, one.is_gang, lambda m: True, None)
-        given = shelf.place(one, count)
+        given = cache.place(one, count)
         assert given is None or given == expected
         plain += given is not None
         for index, machine in enumerate(expected[: rng.choice([count, 1])]):
             task = Task(one, index, 1, machine, COMMITTING, 0)
             machine.add(task)
-            shelf.changed([machine])
+            cache.changed([machine])
     assert plain > 20
 
 
 @pytest.mark.parametrize("count", [1, 8, 100, 500])
 def test_the_charges_of_any_number_of_teams_fit_one_value(count):
-    """Of 500 teams they were five times what a value may hold, and no write of the leader's got through any more."""
+    """The charges of 500 teams took five times the size limit, so that all writes of the leader failed."""
     teams = [Team(f"team-with-a-long-name-{number:03d}", gpus=8.0, gpus_max=12.0) for number in range(count)]
     harness = LeaderHarness(make_config(teams=teams, state=StateSettings(100.0, 50.0, 4.0, 8)))
     ledger = harness.cluster.ledger
@@ -578,10 +578,10 @@
             ledger.charge(team.name, 1000.0 / (1 + number), harness.clock.now_us())
     value = ledger.to_value(harness.clock.now_us())
     assert len(msgspec.json.encode(value)) <= 4096
-    heir = LeaderHarness(make_config(teams=teams, state=StateSettings(100.0, 50.0, 4.0, 8))).cluster.ledger
-    heir.charge(teams[-1].name, 5.0, harness.clock.now_us())  # what is not in the value was not charged
-    heir.restore(value, harness.clock.now_us(), harness.clock.wall_us())
-    kept = sum(heir.charged(team.name) for team in teams) / sum(ledger.charged(team.name) for team in teams)
-    # 4 KiB hold some 90 names of this length; with charges that fall as 1/n these have three quarters of all.
+    next_leader = LeaderHarness(make_config(teams=teams, state=StateSettings(100.0, 50.0, 4.0, 8))).cluster.ledger
+    next_leader.charge(teams[-1].name, 5.0, harness.clock.now_us())  # charges that are not in the value are lost
+    next_leader.restore(value, harness.clock.now_us(), harness.clock.wall_us())
+    kept = sum(next_leader.charged(team.name) for team in teams) / sum(ledger.charged(team.name) for team in teams)
+    # 4 KiB hold some 90 names of this length; with charges that decrease as 1/n these are three quarters of all.
     assert kept > {1: 0.999, 8: 0.999, 100: 0.9, 500: 0.7}[count]
-    assert heir.charged(teams[0].name) == pytest.approx(ledger.charged(teams[0].name), rel=0.01)
+    assert next_leader.charged(teams[0].name) == pytest.approx(ledger.charged(teams[0].name), rel=0.01)
