--- a/tests/test_conditions.py
+++ b/tests/test_conditions.py
@@ -1,4 +1,4 @@
-"""Holds, times, dependencies and limits of jobs, under the failures that they are made for."""
+"""Holds, start times, dependencies and limits of jobs, under the failures that they must survive."""
 
 import random
 
@@ -34,7 +34,7 @@
 
 
 def run_to_end(harness, spec, cause="done", host="host-1", first=2):
-    """The only task of a placed job runs on the host and exits."""
+    """Run the only task of a placed job on the host until it exits."""
     name = f"{spec.id}/0"
     harness.report(host, first)
     harness.report(host, first + 1, (name, 1, "running", None))
@@ -54,10 +54,10 @@
 )
 @pytest.mark.parametrize("new_leader", [False, True])
 @pytest.mark.parametrize("how", [JOB_DONE, JOB_CANCELLED])
-def test_each_kind_of_end_releases_or_ends_those_that_wait(harness, on, done, cancelled, how, new_leader):
+def test_each_kind_of_end_releases_or_ends_the_dependents(harness, on, done, cancelled, how, new_leader):
     first, then = job(), job(after=None)
     then = msgspec.structs.replace(then, after=after(first, on))
-    waiting = harness.submit(then)  # the dependent's record is read before that of the job it names
+    waiting = harness.submit(then)  # the dependent's record is read before the one it depends on
     harness.submit(first)
     assert waiting.blocked and first.id in reasons(harness, then)
     if how == JOB_DONE:
@@ -79,13 +79,13 @@
         assert value["st"] == JOB_CANCELLED and first.id in value["why"] and then.id not in harness.cluster.jobs
 
 
-def test_after_is_met_by_the_first_running_task_and_stays_so_when_the_job_is_cancelled(harness):
+def test_after_is_met_by_the_first_running_task_and_stays_met_after_a_cancellation(harness):
     first = job()
     harness.place(first)
     then = harness.submit(job(after=after(first, "after")))
     harness.report("host-1", 2)
     step(harness)
-    assert then.blocked  # it has a place; that is no beginning
+    assert then.blocked  # it is placed but has not begun
     harness.report("host-1", 3, (f"{first.id}/0", 1, "running", None))
     step(harness)
     assert not then.blocked
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("new_leader", [False, True])
-def test_a_task_that_was_done_between_two_reports_had_begun(harness, new_leader):
+def test_a_task_that_completes_between_two_reports_counts_as_begun(harness, new_leader):
     first = job("batch", 3, gpus=4.0)
     harness.place(first)
     then = harness.submit(job(after=after(first, "after")))
@@ -113,7 +113,7 @@
     assert not harness.cluster.jobs[then.spec.id].blocked
 
 
-def test_what_a_cancelled_job_left_running_is_gone_before_those_after_it_start(harness):
+def test_running_tasks_of_a_cancelled_job_end_before_its_dependents_start(harness):
     first = job()
     harness.place(first)
     then = harness.submit(job(after=after(first, "afterany")))
@@ -128,7 +128,7 @@
 
 
 def test_a_leader_dies_between_an_end_and_the_release_of_five_hundred(harness):
-    """None is lost, none is started twice, and the release itself writes nothing."""
+    """No job is lost or started twice, and the release itself writes nothing."""
     first = job()
     harness.place(first)
     specs = [job(after=after(first), gpus=0.1, cpus=0.1, ram_gb=0.1) for _ in range(500)]
@@ -141,7 +141,7 @@
     harness.commit()
     assert status(harness, first) == JOB_DONE
     written = harness.state.tide
-    harness.elect()  # the old leader had released nobody yet
+    harness.elect()  # the old leader had not released any yet
     assert len(harness.cluster.active) == 500 and harness.state.tide == written + 1  # the election
     harness.report("host-1", 9)
     for _ in range(20):
@@ -151,10 +151,10 @@
     assert len(starts) == len(set(starts)) == len(placed) >= 30 and {attempt for _, attempt in starts} == {1}
     harness.elect()
     harness.report("host-1", 11)
-    assert harness.report("host-1", 12) == []  # what is placed already is not started by the next one again
+    assert harness.report("host-1", 12) == []  # the next leader does not start placed tasks again
 
 
-def test_a_chain_of_a_thousand_ends_with_its_first_once_and_through_a_change_of_leader(harness):
+def test_a_chain_of_a_thousand_ends_with_its_first_job_once_also_across_leaders(harness):
     first = job()
     specs = [first]
     for _ in range(1000):
@@ -167,7 +167,7 @@
     harness.see_jobs()
     while harness.cluster.conditions.step(harness.clock.now_us()):
         pass
-    for _ in range(30):  # part of the ends is written when the leader dies
+    for _ in range(30):  # some of the ends are written when the leader dies
         batch = harness.cluster.write_queue.next_batch(8)
         harness.cluster.write_queue.batch_committed(harness.state.txn(batch.guards, batch.writes))
     before = harness.state.tide
@@ -188,7 +188,7 @@
     )
 
 
-def test_what_is_doomed_but_not_written_yet_releases_nobody(harness):
+def test_an_end_that_is_decided_but_not_persisted_releases_no_job(harness):
     first = job()
     middle = job(after=after(first))
     last = job(after=after(middle, "afternotok"))
@@ -205,7 +205,7 @@
     assert status(harness, middle) == JOB_CANCELLED and not waiting.blocked
 
 
-def test_releases_come_in_bounded_pieces(harness, monkeypatch):
+def test_releases_are_evaluated_in_bounded_steps(harness, monkeypatch):
     monkeypatch.setattr(conditions, "EVALUATIONS_PER_STEP", 10)
     first = job()
     harness.submit(first)
@@ -228,38 +228,38 @@
 
 
 @pytest.fixture
-def taking(store):
+def accepting_users(store):
     return Users(LeaderHarness().cluster.config, LeaderHarness().clock, store, conditions=True)
 
 
-def test_a_job_after_an_unknown_or_hopeless_one_is_refused(taking, store):
+def test_a_job_with_an_unknown_or_unsatisfiable_dependency_is_refused(accepting_users, store):
     gone, spec = job(), job()
-    assert taking.submit(body(spec, after=[{"on": "afterok", "ref": "req-77"}])).status == 422
-    taking.submit(body(gone))
-    taking.cancel(gone.id)
-    reply = taking.submit(body(spec, after=[{"on": "afterok", "ref": gone.id}]))
+    assert accepting_users.submit(body(spec, after=[{"on": "afterok", "ref": "req-77"}])).status == 422
+    accepting_users.submit(body(gone))
+    accepting_users.cancel(gone.id)
+    reply = accepting_users.submit(body(spec, after=[{"on": "afterok", "ref": gone.id}]))
     assert reply.status == 422 and gone.id in reply.body["error"]
     store.up = False
-    assert taking.submit(body(spec, after=[{"on": "afterok", "ref": "req-77"}])).status == 503
+    assert accepting_users.submit(body(spec, after=[{"on": "afterok", "ref": "req-77"}])).status == 503
     store.up = True
-    assert taking.submit(body(spec, after=[{"on": "afternotok", "ref": gone.id}])).status == 201
+    assert accepting_users.submit(body(spec, after=[{"on": "afternotok", "ref": gone.id}])).status == 201
 
 
-def test_a_predecessor_cancelled_while_a_dependent_is_accepted_on_another_node_ends_it(taking, store):
+def test_a_predecessor_cancelled_while_a_dependent_is_accepted_on_another_node_ends_it(accepting_users, store):
     harness = LeaderHarness()
     harness.state = store.state
     harness.elect()
     first, then = job(), job()
-    taking.submit(body(first))
+    accepting_users.submit(body(first))
     stale = dict(store.mirror)
-    assert harness.state.cancel(first.id)  # on another node, told to its user
+    assert harness.state.cancel(first.id)  # on another node, confirmed to its user
     store.mirror, sync = stale, store.sync
-    store.sync = lambda timeout_s=0.0: True  # whose news has not come here
-    assert taking.submit(body(then, after=[{"on": "afterok", "ref": first.id}])).status == 201
+    store.sync = lambda timeout_s=0.0: True  # of which this node does not know yet
+    assert accepting_users.submit(body(then, after=[{"on": "afterok", "ref": first.id}])).status == 201
     store.sync = sync
     step(harness, 2)
     assert first.id in harness.state.record_of(then.id)["why"]
-    reply = taking.poll(then.id)
+    reply = accepting_users.poll(then.id)
     assert reply.body.status == "withdrawn" and first.id in reply.body.why
 
 
@@ -289,31 +289,31 @@
         parse_job(body(job(), **fields))
 
 
-def test_conditions_are_refused_where_they_are_not_switched_on(users):  # noqa: F811
+def test_conditions_are_refused_where_they_are_disabled(users):  # noqa: F811
     spec = job()
     assert "jobs.conditions" in users.submit(body(spec, at_once=2)).body["error"]
-    assert users.submit(body(spec, name="anna's")).status == 201  # a name promises nothing
+    assert users.submit(body(spec, name="anna's")).status == 201  # a name is not a condition
     assert users.hold(spec.id, "hold", b"").status == 422
 
 
 # Holds and times
 
 
-def test_a_hold_that_was_answered_beats_a_start_that_was_not_committed(harness):
+def test_a_confirmed_hold_prevents_an_uncommitted_start(harness):
     spec = job("batch", 3)
     placed = harness.submit(spec)
     harness.report("host-1", 1)
     harness.commit()
     harness.scheduler.schedule(harness.clock.now_us())
     assert placed.live[0].phase == COMMITTING
-    holding(harness).hold(spec.id, "hold", b'{"by":"anna"}')  # before our transaction arrives
+    users_with_holds(harness).hold(spec.id, "hold", b'{"by":"anna"}')  # before the transaction arrives
     harness.commit()
     assert not placed.live and harness.report("host-1", 2) == []
     assert "anna" in reasons(harness, spec) and spec.id not in harness.cluster.active
     assert "a" not in harness.state.items.get(keys.chunk_key(spec.id, 0), ({},))[0]
     harness.elect()
     assert spec.id not in harness.cluster.active
-    assert holding(harness).hold(spec.id, "release", b"").body.status == "pending"
+    assert users_with_holds(harness).hold(spec.id, "release", b"").body.status == "pending"
     step(harness)
     assert len(harness.cluster.jobs[spec.id].live) == 0  # the new leader has no machine yet
     harness.report("host-1", 3)
@@ -321,33 +321,33 @@
     assert len(harness.cluster.jobs[spec.id].live) == 3
 
 
-def holding(harness):
+def users_with_holds(harness):
     store = ScriptedStore()
     store.state = harness.state
     store.sync()
     return Users(harness.cluster.config, harness.clock, store, conditions=True)
 
 
-def test_a_hold_stops_nothing_that_was_committed_and_lets_nothing_more_start(harness):
+def test_a_hold_stops_no_committed_task_and_prevents_further_starts(harness):
     spec = job("batch", 6, gpus=1.0)
     placed = harness.place(spec)
     harness.report("host-1", 2)
     assert len(placed.live) == 4
-    assert holding(harness).hold(spec.id, "hold", b"").body.held == "its user"
-    assert holding(harness).hold(spec.id, "hold", b"").status == 200  # a repeat
+    assert users_with_holds(harness).hold(spec.id, "hold", b"").body.held == "its user"
+    assert users_with_holds(harness).hold(spec.id, "hold", b"").status == 200  # repeated
     step(harness)
     running = [(f"{spec.id}/{i}", 1, "running", None) for i in (1, 2, 3)]
     harness.report("host-1", 3, *running, (f"{spec.id}/0", 1, "exited", "done"))
     step(harness)
     assert set(placed.live) == {1, 2, 3}
-    holding(harness).hold(spec.id, "release", b"")
+    users_with_holds(harness).hold(spec.id, "release", b"")
     step(harness)
     assert set(placed.live) == {1, 2, 3, 4}
 
 
 def test_holds_of_finished_and_unknown_jobs_and_bad_bodies_are_refused(harness):
     harness.commit()
-    users, spec = holding(harness), job()  # noqa: F811
+    users, spec = users_with_holds(harness), job()  # noqa: F811
     assert users.hold("req-99", "hold", b"").status == 404
     users.submit(body(spec, hold="anna"))
     assert users.poll(spec.id).body.held == "anna"
@@ -375,7 +375,7 @@
     assert harness.cluster.jobs[spec.id].live
 
 
-def test_a_service_made_smaller_frees_by_proof_and_never_grows_again(harness):
+def test_a_shrunk_service_frees_capacity_only_on_proof_and_never_grows_again(harness):
     spec = job("service", 6, gpus=1.0)
     placed = harness.place(spec, "host-1", "host-2")
     hosts = {task.index: task.machine.name for task in placed.live.values()}
@@ -383,13 +383,13 @@
         for host in ("host-1", "host-2"):
             listed = [(f"{spec.id}/{i}", 1, state, None) for i, name in hosts.items() if name == host and state]
             harness.report(host, serial, *listed)
-    users = holding(harness)  # noqa: F811
+    users = users_with_holds(harness)  # noqa: F811
     assert users.shrink(spec.id, b'{"pieces":2}').status == 200
-    assert users.shrink(spec.id, b'{"pieces":4}').status == 200  # a repeat that came late
+    assert users.shrink(spec.id, b'{"pieces":4}').status == 200  # repeated late
     step(harness)
     assert len(harness.cluster.direct) == 4 and len(placed.live) == 6 and placed.pending <= 0
     harness.commit()
-    harness.elect()  # dies before anybody has stopped: the places are still known, and counted
+    harness.elect()  # the leader dies before any task stopped: the places are still known and counted
     placed = harness.cluster.jobs[spec.id]
     assert placed.spec.tasks == 2 and len(placed.live) == 6 and harness.cluster.usage["red"][1] == 6.0
     assert len(harness.cluster.direct) == 4
@@ -426,16 +426,16 @@
     harness.report("host-1", 4, *[(name, 1, "running", None) for name in names])
     harness.clock.pass_s(12)
     step(harness)
-    assert not harness.cluster.direct  # nothing was heard since the end of the limit
+    assert not harness.cluster.direct  # no report since the limit expired
     harness.report("host-1", 5, (names[0], 1, "exited", "done"), (names[1], 1, "running", None))
     step(harness)
-    assert not harness.cluster.direct  # that may have been on its way since before
+    assert not harness.cluster.direct  # that report may have been sent before
     harness.report("host-1", 6, (names[1], 1, "running", None))
     harness.scheduler.schedule(harness.clock.now_us())
-    assert not harness.cluster.direct  # not before it is written
+    assert not harness.cluster.direct  # not before it is persisted
     harness.commit()
     assert [d.command.task for d in harness.cluster.direct] == [names[1]]
-    harness.elect()  # dies before the worker hears of it
+    harness.elect()  # the leader dies before the worker receives it
     assert [d.command.task for d in harness.cluster.direct] == [names[1]]
     harness.report("host-1", 7, (names[1], 1, "exited", "stopped"))
     step(harness, 2)
@@ -444,7 +444,7 @@
     assert "longer than its job's limit" in value["w"][-1]["why"]
 
 
-def test_a_gang_over_its_limit_is_stopped_whole_and_not_started_again(harness):
+def test_a_gang_over_its_limit_is_stopped_entirely_and_not_restarted(harness):
     spec = job("gang", 2, gpus=3.0, limit_s=30.0)
     placed = harness.place(spec, "host-1", "host-2")
     where = {task.machine.name: name for name, task in ((t.name, t) for t in placed.live.values())}
@@ -472,7 +472,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_an_array_of_ten_thousand_never_has_a_sixth_task_on_machines(seed):
-    """Through crashes of leaders and machines, cuts, late reports and lost answers."""
+    """Through crashes of leaders and machines, partitions, late reports and lost answers."""
     harness = Harness(seed, faults=0.12)
     spec = harness.submit(job("batch", 10_000, at_once=5, gpus=1.0, estimate_s=2.0, spot=True))
     most = 0
@@ -491,8 +491,8 @@
 
 
 @pytest.mark.parametrize("seed", [0, 1, 3, 4, 5])
-def test_under_storms_nothing_starts_that_is_held_or_waits_for_another(seed):
-    """Judged on what is persisted: a start is a place that was not there before."""
+def test_under_random_faults_no_held_or_dependent_job_starts(seed):
+    """Checked on the persisted records: a start is a place that was not there before."""
     harness = Harness(seed, faults=0.15)
     rng, state = harness.rng, harness.state
     specs = [harness.submit(job("batch", 2, estimate_s=3.0, limit_s=60.0)) for _ in range(6)]
@@ -518,7 +518,7 @@
     commit = harness._commit
 
     def hold_and_commit(cluster, batch, now):
-        """A user is answered while the leader's transaction is on its way."""
+        """Answer a user while the leader's transaction is in flight."""
         nonlocal raced
         for spec in specs:
             if any(write.key == keys.chunk_key(spec.id, 0) for write in batch.writes) and rng.random() < 0.2:
