--- a/src/tideusher/core/decide/fleet.py
+++ b/src/tideusher/core/decide/fleet.py
@@ -21,8 +21,8 @@
 MAX_PLANNED = 600
 #: Boot times for which no ordinary machine is rented for work that a team without a guarantee may run on spot ones.
 SPOT_ONLY_BOOTS = 4
-#: The load of this first period is not yet a rate of arrivals.
-WARM_UP_US = 20 * SECOND_US
+#: The load of this initial period is not yet a rate of arrivals.
+INITIAL_LOAD_US = 20 * SECOND_US
 
 
 @dataclass(frozen=True)
@@ -87,17 +87,17 @@
         if touched:
             moved = {entry[2] for entry in touched}
             self._order = [entry for entry in self._order if entry[2] not in moved]
-            for spot, _, inserted, bin in touched:
-                self._insert(spot, inserted, bin)
+            for spot, _, insertion, bin in touched:
+                self._insert(spot, insertion, bin)
         return left
 
     def add(self, bin: Bin) -> None:
         """Add a rented bin, whose remaining capacity may serve later requests."""
         self._insert(not bin.spot, next(self._insertions), bin)
 
-    def _insert(self, ordinary: bool, inserted: int, bin: Bin) -> None:
+    def _insert(self, ordinary: bool, insertion: int, bin: Bin) -> None:
         if self._least.fits(bin.cpus, bin.gpus, bin.ram):
-            insort(self._order, (ordinary, bin.gpus, inserted, bin), key=_sort_key)
+            insort(self._order, (ordinary, bin.gpus, insertion, bin), key=_sort_key)
 
 
 def _sort_key(entry: tuple[bool, float, int, Bin]) -> tuple[bool, float, int]:
@@ -186,14 +186,14 @@
         """
         budget = used_gpus * self._policy.fleet__warm_share
         self.warm = []
-        for spec, count in sorted(self._warm_wanted(now_us), key=lambda item: item[0].rank):
+        for spec, count in sorted(self._warm_demand(now_us), key=lambda item: item[0].rank):
             if spec.gpus:
                 count = min(count, int(budget / spec.gpus))
                 budget -= count * spec.gpus
             if count:
                 self.warm.append((spec, count))
 
-    def _warm_wanted(self, now_us: int) -> list[tuple[JobSpec, int]]:
+    def _warm_demand(self, now_us: int) -> list[tuple[JobSpec, int]]:
         wanted = []
         for job_class, within_us in self._wait_objectives.items():
             spec = self.arrivals.spec_of(job_class)
@@ -207,9 +207,9 @@
             if fastest_us < within_us or first_us is None:
                 continue
             # The work that was present at the start tells nothing about the arrival rate.
-            since_us = max(now_us - to_us(self._policy.fleet__warm_window_s), first_us + WARM_UP_US)
+            since_us = max(now_us - to_us(self._policy.fleet__warm_window_s), first_us + INITIAL_LOAD_US)
             window_us = now_us - since_us
-            if window_us < WARM_UP_US:
+            if window_us < INITIAL_LOAD_US:
                 continue
             sizes = self.arrivals.sizes(job_class, since_us)
             horizon = min(t.boot_s for t in usable) * 1.2 / to_s(window_us)
--- a/src/tideusher/core/decide/health.py
+++ b/src/tideusher/core/decide/health.py
@@ -72,7 +72,7 @@
         return self._listing_received_us - self._began_us > to_us(2 * self._config.settings.cloud.list_lag_s)
 
     def silent_us(self, machine: Machine, now_us: int) -> int:
-        """Returns how long no controller has heard it; without any known contact, the time since our election."""
+        """Returns how long no controller has heard it; without a known contact, the time since the election."""
         return now_us - (machine.last_us or self._began_us)
 
     def silence(self, machine: Machine, now_us: int) -> str:
--- a/src/tideusher/core/decide/routing.py
+++ b/src/tideusher/core/decide/routing.py
@@ -1,4 +1,4 @@
-"""Decides to which controller a worker is redirected, and whether a controller hears its workers. Pure.
+"""Decides on redirects of workers, and whether a controller hears its workers. Pure: time is passed in.
 
 A 421 response that names a node redirects a worker. If that node cannot hear it, the worker spends 4 s on a report
 that is not answered and 1 s before it tries the next node, of a lease of 10 to 16 s; redirected there again at once
--- a/src/tideusher/core/decide/takeover_readiness.py
+++ b/src/tideusher/core/decide/takeover_readiness.py
@@ -1,4 +1,4 @@
-"""Whether a new leader has heard from enough of a zone to preempt work and to return machines. Pure.
+"""Decides whether a new leader has heard from enough of a zone to preempt work and to return machines. Pure.
 
 A leader reads from the records where every task is, but learns which machines are up only from their reports. Work
 that it preempted before those reports arrive would be stopped needlessly: free capacity exists on machines that have
--- a/tests/test_conditions.py
+++ b/tests/test_conditions.py
@@ -213,10 +213,10 @@
         harness.submit(job(after=after(first, "afterany")))
     harness.state.cancel(first.id)
     harness.see_jobs()
-    woken = []
+    active_counts = []
     while harness.cluster.conditions.step(harness.clock.now_us()):
-        woken.append(len(harness.cluster.active))
-    assert woken == [10, 20, 30] and len(harness.cluster.active) == 35
+        active_counts.append(len(harness.cluster.active))
+    assert active_counts == [10, 20, 30] and len(harness.cluster.active) == 35
 
 
 # Acceptance
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -429,7 +429,7 @@
     region.write_rate, region.written, region.most_calls = 14.0, 0, 0
     region.set_state(region.machines_in("a")[1:], DEAD)
     region.run(6)
-    if restart:  # the state service is out, and nobody leads until it is back
+    if restart:  # the state service is down, and there is no leader until it is back
         region.leads = False
         region.run(5)
         region.leads = True
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -126,9 +126,8 @@
     now_us = harness.clock.now_us()
     harness.cluster.check_failures(machine, now_us)
     harness.scheduler.schedule(now_us)
-    assert (
-        machine.suspect_since_us and not machine.tasks and harness.cluster.machines["host-2"].tasks
-    )  # others take the work
+    # Others take the work.
+    assert machine.suspect_since_us and not machine.tasks and harness.cluster.machines["host-2"].tasks
     assert (
         task_failures.judge(machine, harness.cluster.jobs, now_us + task_failures.SUSPECT_US) == task_failures.FAULTY
     )
@@ -187,9 +186,8 @@
     fast = boots_seen(*[1] * 8, rented_s=5)  # some boot within a second: that does not make others late
     assert at(fast, 101) and not at(fast, 99)
     assert not fast.late(one, 44 * SECOND_US) and fast.late(one, 46 * SECOND_US)
-    assert not boots_seen(*[30] * 8, rented_s=5, zone="b").late(
-        one, 60 * SECOND_US
-    )  # boots in another zone prove nothing
+    # Boots in another zone prove nothing.
+    assert not boots_seen(*[30] * 8, rented_s=5, zone="b").late(one, 60 * SECOND_US)
 
 
 def test_a_burst_of_late_boots_causes_no_burst_of_returns():
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -413,9 +413,8 @@
     monkeypatch.setattr(FreeCapacity, "place", lambda room, *more: scans.append(1) or place(room, *more))
     pass_steps = sum(1 for _ in harness.scheduler.pass_steps(harness.clock.now_us()))
     assert len(scans) <= 2 and sum(one.waits for one in harness.cluster.active.values()) == 580
-    assert (
-        harness.scheduler.pause_us(pass_steps) == 580 * scheduler.PAUSE_PER_JOB_US
-    )  # at most a tenth of a second for as many
+    # At most a tenth of a second for as many.
+    assert harness.scheduler.pause_us(pass_steps) == 580 * scheduler.PAUSE_PER_JOB_US
     # Capacity that becomes free is considered again at once.
     (task,) = next(one for one in harness.cluster.active.values() if one.live).live.values()
     before, scans[:] = harness.cluster.capacity_changes, []
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -283,10 +283,8 @@
     own.heard("host-1", "a", "x:1", 0)
     lines, at = own.news(0, 0)
     contacts.told("n1", lines, 10 * SECOND_US)  # on its own clock
-    assert contacts.last("host-1", 12 * SECOND_US) == (
-        12 * SECOND_US,
-        "x:1",
-    )  # still heard there, as far as known
+    # Still heard there, as far as known.
+    assert contacts.last("host-1", 12 * SECOND_US) == (12 * SECOND_US, "x:1")
     is_connected.clear()  # n1 ended: its last heartbeat counts
     assert contacts.last("host-1", 20 * SECOND_US) == (10 * SECOND_US, "x:1")
     is_connected.add("n1")
