--- a/src/tideusher/core/model/__init__.py
+++ b/src/tideusher/core/model/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of jobs, machines, rentals and charges, and how it is written: what a standby follows."""
+"""State of jobs, machines, rentals and charges and its records in the state service; replicated to every standby."""
--- a/src/tideusher/core/model/arrivals.py
+++ b/src/tideusher/core/model/arrivals.py
@@ -1,12 +1,12 @@
-"""When work of each class came: the warm room follows its rate. Followed by every controller, so a new
-leader does not begin with no rate at all."""
+"""Submissions by job class, whose rate determines the warm capacity. Every controller tracks them, so that a new
+leader knows the rate from its start."""
 
 from collections import deque
 
 from tideusher.wire.jobs import JobSpec
 
-#: So many submissions of a class are remembered.
-REMEMBERED = 200
+#: Submissions remembered per class.
+MAX_SUBMISSIONS_PER_CLASS = 200
 
 
 class Arrivals:
@@ -14,20 +14,22 @@
 
     def __init__(self) -> None:
         self.first_us: int | None = None
-        self._of: dict[str, deque[tuple[int, int]]] = {}
+        self._submissions: dict[str, deque[tuple[int, int]]] = {}
         self._specs: dict[str, JobSpec] = {}
 
-    def came(self, spec: JobSpec, came_us: int) -> None:
-        """A job was submitted."""
-        if self.first_us is None or came_us < self.first_us:
-            self.first_us = came_us
+    def record(self, spec: JobSpec, submitted_us: int) -> None:
+        """Records a submission."""
+        if self.first_us is None or submitted_us < self.first_us:
+            self.first_us = submitted_us
         self._specs[spec.job_class] = spec
-        self._of.setdefault(spec.job_class, deque(maxlen=REMEMBERED)).append((came_us, spec.tasks))
+        self._submissions.setdefault(spec.job_class, deque(maxlen=MAX_SUBMISSIONS_PER_CLASS)).append(
+            (submitted_us, spec.tasks)
+        )
 
     def spec_of(self, job_class: str) -> JobSpec | None:
-        """What a job of the class asks for; None: none ever came."""
+        """Returns the spec of the latest job of the class; None if there was none."""
         return self._specs.get(job_class)
 
     def sizes(self, job_class: str, since_us: int) -> list[int]:
-        """The numbers of tasks of the jobs that came after this time."""
-        return [tasks for at_us, tasks in self._of.get(job_class, ()) if at_us > since_us]
+        """Returns the numbers of tasks of the jobs of the class submitted after this time."""
+        return [tasks for at_us, tasks in self._submissions.get(job_class, ()) if at_us > since_us]
--- a/src/tideusher/core/model/audit.py
+++ b/src/tideusher/core/model/audit.py
@@ -1,4 +1,4 @@
-"""Is a picture what the records say? Asked of what a standby followed, some records at a time."""
+"""Compares a standby's cluster state with the records of the state service, some records at a time."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any, Protocol
@@ -9,12 +9,12 @@
 from tideusher.core.model.records import CHUNK_TASKS, OPEN, RETURNING, Job, Machine, read_chunk
 from tideusher.core.model.rentals import Rental
 
-#: So many jobs of a page are named where it differs.
-JOBS_NAMED = 3
+#: Jobs of a differing page that are named in the log.
+MAX_JOBS_NAMED = 3
 
 
-class Pictured(Protocol):
-    """What of a picture is compared."""
+class AuditedState(Protocol):
+    """The parts of the cluster state that are compared."""
 
     jobs: dict[str, Job]
     active: dict[str, Job]
@@ -37,16 +37,16 @@
         """The names of the teams."""
 
     def value_on_machines(self, job_id: str, tasks: dict[str, Any]) -> dict[str, Any] | None:
-        """The own record of a job with tasks on known machines, as far as it says what the job is."""
+        """The own record of a job with tasks on known machines; None if that does not contain the spec."""
 
 
-def comparable(cluster_state: Pictured) -> dict[str, Any]:
-    """All that a record says, in plain values: the same for a follower and a rebuild, whatever came when."""
+def comparable(cluster_state: AuditedState) -> dict[str, Any]:
+    """Returns the state that derives from records as plain values; equal for a replica and a rebuild."""
     return {
         "jobs": {
             name: {
                 "status": job.status,
-                "stamp": job.stamp if job.status == OPEN else 0,  # of a final record none is kept
+                "stamp": job.stamp if job.status == OPEN else 0,  # stamps of final records are not kept
                 "tasks": job.spec.tasks,
                 "hold": job.hold,
                 "over": (job.done_count, job.failed_count),
@@ -79,35 +79,35 @@
     }
 
 
-def matches(cluster_state: Pictured, key: str, value: Any) -> bool:
-    """Does the picture say what this record says? What a forgotten transition would leave behind, it does not."""
+def matches(cluster_state: AuditedState, key: str, value: Any) -> bool:
+    """Returns whether the state agrees with this record; it does not after a missed transition."""
     if key.startswith(keys.CHUNK_PREFIX):
-        return _says_chunk(cluster_state, key, value)
+        return _matches_chunk(cluster_state, key, value)
     if key.startswith(keys.PAGE_PREFIX):
-        return cluster_state.placements.page(key) == value and not _unlike_in_page(cluster_state, key, value)
+        return cluster_state.placements.page(key) == value and not _differing_in_page(cluster_state, key, value)
     if key.startswith(keys.JOB_PREFIX):
-        return _says_job(cluster_state, key[len(keys.JOB_PREFIX) :], value)
+        return _matches_job(cluster_state, key[len(keys.JOB_PREFIX) :], value)
     if key.startswith(keys.RENTAL_PREFIX):
-        return _says_rental(cluster_state, key[len(keys.RENTAL_PREFIX) :], value)
+        return _matches_rental(cluster_state, key[len(keys.RENTAL_PREFIX) :], value)
     return True
 
 
-def describe_mismatch(cluster_state: Pictured, key: str, value: Any) -> str:
-    """What of a record the picture does not say: the key, and of a page the jobs with what it has of them."""
+def describe_mismatch(cluster_state: AuditedState, key: str, value: Any) -> str:
+    """Describes a record that differs from the state: its key, and of a page the differing jobs and their records."""
     if not key.startswith(keys.PAGE_PREFIX) or cluster_state.placements.page(key) != value:
         return key
-    jobs = [f"{job_id} {value[job_id]}" for job_id in _unlike_in_page(cluster_state, key, value)]
-    return f"{key} ({', '.join(jobs[:JOBS_NAMED])})"
+    jobs = [f"{job_id} {value[job_id]}" for job_id in _differing_in_page(cluster_state, key, value)]
+    return f"{key} ({', '.join(jobs[:MAX_JOBS_NAMED])})"
 
 
-def _says_job(cluster_state: Pictured, job_id: str, value: dict[str, Any]) -> bool:
+def _matches_job(cluster_state: AuditedState, job_id: str, value: dict[str, Any]) -> bool:
     job = cluster_state.jobs.get(job_id)
     if job is None:
         return value["st"] != OPEN
     return job.status == value["st"] and (job.status != OPEN or job.spec.tasks == value["spec"]["pieces"])
 
 
-def _says_rental(cluster_state: Pictured, name: str, value: dict[str, Any]) -> bool:
+def _matches_rental(cluster_state: AuditedState, name: str, value: dict[str, Any]) -> bool:
     rental = cluster_state.rentals.get(name)
     if rental is None:
         return False
@@ -117,33 +117,33 @@
     return all(host in cluster_state.machines for host in rental.machines)
 
 
-def _unlike_in_page(cluster_state: Pictured, key: str, value: dict[str, Any]) -> list[str]:
-    """The jobs of the page of which the picture says something else."""
-    here = [job_id for job_id in value if cluster_state.placements.is_in(job_id, key)]
-    return [job_id for job_id in here if not _says_shared(cluster_state, job_id, value[job_id])]
+def _differing_in_page(cluster_state: AuditedState, key: str, value: dict[str, Any]) -> list[str]:
+    """Returns the jobs whose record in the page differs from the state."""
+    jobs_in_page = [job_id for job_id in value if cluster_state.placements.is_in(job_id, key)]
+    return [job_id for job_id in jobs_in_page if not _matches_page_member(cluster_state, job_id, value[job_id])]
 
 
-def _says_chunk(cluster_state: Pictured, key: str, value: dict[str, Any]) -> bool:
+def _matches_chunk(cluster_state: AuditedState, key: str, value: dict[str, Any]) -> bool:
     job_id, number = keys.split_chunk_key(key)
     job = cluster_state.jobs.get(job_id)
     if job is None:
         return key in cluster_state.orphans and cluster_state.value_on_machines(job_id, value) is None
-    return _says_tasks(job, number, value, cluster_state.machines)
+    return _matches_tasks(job, number, value, cluster_state.machines)
 
 
-def _says_shared(cluster_state: Pictured, job_id: str, value: dict[str, Any]) -> bool:
+def _matches_page_member(cluster_state: AuditedState, job_id: str, value: dict[str, Any]) -> bool:
     job = cluster_state.jobs.get(job_id)
     if job is not None:
-        return _says_tasks(job, 0, value, cluster_state.machines)
+        return _matches_tasks(job, 0, value, cluster_state.machines)
     return cluster_state.value_on_machines(job_id, value) is None
 
 
-def _says_tasks(job: Job, number: int, value: dict[str, Any], machines: Mapping[str, Machine]) -> bool:
+def _matches_tasks(job: Job, number: int, value: dict[str, Any], machines: Mapping[str, Machine]) -> bool:
     known = job.chunks.get(number)
     chunk, places = read_chunk(number, value, 0)
-    over = (chunk.attempts, chunk.done, chunk.failed)
-    if known is None or (known.attempts, known.done, known.failed) != over:
+    finished = (chunk.attempts, chunk.done, chunk.failed)
+    if known is None or (known.attempts, known.done, known.failed) != finished:
         return False
-    span = range(number * CHUNK_TASKS, (number + 1) * CHUNK_TASKS)
-    live = {i: (t.attempt, t.machine.name) for i in span if (t := job.live.get(i)) is not None}
+    indexes = range(number * CHUNK_TASKS, (number + 1) * CHUNK_TASKS)
+    live = {i: (t.attempt, t.machine.name) for i in indexes if (t := job.live.get(i)) is not None}
     return live == {i: place[:2] for i, place in places.items() if place[1] in machines}
--- a/src/tideusher/core/model/entries.py
+++ b/src/tideusher/core/model/entries.py
@@ -1,4 +1,4 @@
-"""One record that a leader owns, as it waits to be written."""
+"""Records that wait to be written by the leader."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -11,15 +11,15 @@
 
 @dataclass(slots=True, eq=False)
 class Entry:
-    """One key that the leader owns."""
+    """A record that the leader owns, and its pending effects."""
 
     key: str
-    value: Callable[[], Any]  # None: the key is to be removed
-    stamp: int  # of the record of its own; 0: there is none
-    extra_guards: Callable[[], list[Guard]] = list  # more guards, such as the job's own key
+    value: Callable[[], Any]  # None: the key is to be deleted
+    stamp: int  # stamp of the record under its own key; 0: there is none
+    extra_guards: Callable[[], list[Guard]] = list  # further guards, such as the job's own key
     effects: list[Effect] = field(default_factory=list)
     dirty: bool = False
-    valid: Callable[[], bool] = lambda: True  # false: the write has lost its point and is dropped
-    settled: Effect = lambda: None  # after each write of it, whoever asked for that
-    owner: str = ""  # the job whose record it is
-    member: str = ""  # the name under which it may be kept in a shared page; empty: always in a record of its own
+    valid: Callable[[], bool] = lambda: True  # False: the write is obsolete and is dropped
+    settled: Effect = lambda: None  # called after each write of the entry
+    owner: str = ""  # the job that the record belongs to
+    member: str = ""  # its name in a shared page; empty: always stored under a key of its own
--- a/src/tideusher/core/model/fair_queue.py
+++ b/src/tideusher/core/model/fair_queue.py
@@ -1,8 +1,9 @@
-"""The order in which urgent entries are written: what belongs to no job first, then one of each job in turn.
+"""Order in which urgent entries are written: entries without a job first, then round robin over the jobs.
 
-An array of 25,000 tasks has 400 records; starts and ends of all others waited behind them for half a minute. What
-belongs to no job (machines that are rented or returned) goes before all jobs': no task may be on record on a machine
-that is not. To take the next ones costs what is taken, not what waits.
+An array of 25,000 tasks has 400 records; in a plain queue the starts and ends of all other jobs waited behind them
+for half a minute. Entries that belong to no job (rented and returned machines) precede those of all jobs, because no
+task may be on record on a machine that is not. Taking the next entries costs time in proportion to the entries
+taken, not to those that wait.
 """
 
 import heapq
@@ -13,26 +14,26 @@
 
 
 @dataclass(slots=True)
-class _Owned:
-    """What waits of one job, oldest first, each with its number in the order of all."""
+class _JobEntries:
+    """Waiting entries of one job, oldest first, each with its number in the overall order."""
 
     entries: dict[str, tuple[int, Entry]] = field(default_factory=dict)
 
     @property
     def first(self) -> int:
-        """The number of the oldest."""
+        """Number of the oldest entry."""
         return next(iter(self.entries.values()))[0]
 
 
 class FairQueue:
-    """Entries by key, in the order of their turns."""
+    """Waiting entries by key, served round robin over their owners."""
 
     def __init__(self) -> None:
-        self._next = self._front = 0
+        self._highest_number = self._lowest_number = 0
         self._unowned: dict[str, Entry] = {}
-        self._owned: dict[str, _Owned] = {}
+        self._owned: dict[str, _JobEntries] = {}
         self._owner_of: dict[str, str] = {}
-        self._heads: list[tuple[int, str]] = []  # (number, owner) of first entries; those that are not any more stay
+        self._heads: list[tuple[int, str]] = []  # heap of (number, owner) of first entries; outdated ones are skipped
 
     def __len__(self) -> int:
         return len(self._unowned) + len(self._owner_of)
@@ -41,33 +42,33 @@
         return key in self._unowned or key in self._owner_of
 
     def get(self, key: str) -> Entry | None:
-        """The entry that waits under this key."""
+        """Returns the entry that waits under this key, if any."""
         if key in self._unowned:
             return self._unowned[key]
         owner = self._owner_of.get(key)
         return self._owned[owner].entries[key][1] if owner is not None else None
 
     def add(self, entry: Entry) -> None:
-        """Last in the order, if none waits under its key."""
+        """Appends an entry unless one waits under its key."""
         if entry.key in self:
             return
-        self._next += 1
+        self._highest_number += 1
         if entry.owner:
-            self._put(entry, self._next, first=False)
+            self._put(entry, self._highest_number, first=False)
         else:
             self._unowned[entry.key] = entry
 
     def add_first(self, entry: Entry) -> None:
-        """First in the order, in place of what waits under its key."""
+        """Puts an entry first, in place of one that waits under its key."""
         self.discard(entry.key)
-        self._front -= 1
+        self._lowest_number -= 1
         if entry.owner:
-            self._put(entry, self._front, first=True)
+            self._put(entry, self._lowest_number, first=True)
         else:
             self._unowned = {entry.key: entry, **self._unowned}
 
     def replace(self, entry: Entry) -> None:
-        """Take the place of what waits under the same key."""
+        """Replaces the entry that waits under the same key."""
         if entry.key in self._unowned:
             self._unowned[entry.key] = entry
             return
@@ -75,7 +76,7 @@
         entries[entry.key] = (entries[entry.key][0], entry)
 
     def discard(self, key: str) -> None:
-        """Nothing waits under this key any more."""
+        """Removes the entry that waits under this key, if any."""
         self._unowned.pop(key, None)
         owner = self._owner_of.pop(key, None)
         if owner is None:
@@ -88,16 +89,16 @@
             del self._owned[owner]
 
     def in_turn(self) -> Generator[Entry]:
-        """All entries in their order. What was yielded may be discarded before the next; nothing may be added."""
+        """Yields all entries in order. A yielded entry may be discarded before the next; none may be added."""
         yield from list(self._unowned.values())
-        waiting: dict[str, list[tuple[int, Entry]]] = {}  # of each job looked at, as it was then
+        waiting: dict[str, list[tuple[int, Entry]]] = {}  # entries of each visited job as of the visit
         try:
             for owner in self._pop_heads():
                 waiting[owner] = list(self._owned[owner].entries.values())
                 yield waiting[owner][0][1]
             turn = 1
             while rest := [entries[turn] for entries in waiting.values() if len(entries) > turn]:
-                for _, entry in sorted(rest, key=lambda one: one[0]):
+                for _, entry in sorted(rest, key=lambda numbered: numbered[0]):
                     yield entry
                 turn += 1
         finally:
@@ -108,7 +109,7 @@
 
     def _put(self, entry: Entry, number: int, first: bool) -> None:
         self._owner_of[entry.key] = entry.owner
-        owned = self._owned.setdefault(entry.owner, _Owned())
+        owned = self._owned.setdefault(entry.owner, _JobEntries())
         if first:
             owned.entries = {entry.key: (number, entry), **owned.entries}
         else:
@@ -121,7 +122,7 @@
             heapq.heappush(self._heads, (self._owned[owner].first, owner))
 
     def _pop_heads(self) -> Iterator[str]:
-        """Jobs in the order of their first entries."""
+        """Yields the jobs in the order of their first entries."""
         seen: set[str] = set()
         while self._heads:
             number, owner = heapq.heappop(self._heads)
--- a/src/tideusher/core/model/held_records.py
+++ b/src/tideusher/core/model/held_records.py
@@ -1,8 +1,8 @@
-"""Records of tasks that a picture cannot show whole, kept until it can.
+"""Chunk records that cannot be applied completely yet.
 
-A record is held if a place in it is on a machine that no rental names (yet, or any more), or if its job is not known:
-it is over, or its own record has not been seen. When the machine or the job becomes known the record is read again,
-so what a picture shows depends on the records alone and not on the order in which they came.
+A record is held if it has a place on a machine that no rental names (yet, or any more), or if its job is unknown
+because it is over or its own record has not been applied. When the machine or the job becomes known the record is
+applied again, so the cluster state depends only on the records and not on the order in which they arrived.
 """
 
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 class RecordName(NamedTuple):
-    """Which record of which job."""
+    """Identifies a chunk record: its job and its number."""
 
     job: str
     number: int
@@ -19,19 +19,19 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldRecord:
-    """A record as it was read; `stamp` 0: it is in a page."""
+    """A record as it was read; `stamp` 0 if it is in a page."""
 
     value: dict[str, Any]
     stamp: int
 
     @property
     def machines(self) -> set[str]:
-        """The machines that it has places on."""
+        """The machines on which it has places."""
         return {place[1] for place in self.value.get("a", {}).values()}
 
 
 class HeldRecords:
-    """Records by their job and by the machines that they name."""
+    """Held records by their job and by the machines that they name."""
 
     def __init__(self) -> None:
         self._of_job: dict[str, dict[int, HeldRecord]] = {}
@@ -41,18 +41,18 @@
         return name.number in self._of_job.get(name.job, ())
 
     def get(self, name: RecordName) -> HeldRecord | None:
-        """The record; None if it is not held."""
+        """Returns the record; None if it is not held."""
         return self._of_job.get(name.job, {}).get(name.number)
 
     def hold(self, name: RecordName, record: HeldRecord) -> None:
-        """Keep the record, in place of an older one."""
+        """Holds the record in place of an older one."""
         self.drop(name)
         self._of_job.setdefault(name.job, {})[name.number] = record
         for machine in record.machines:
             self._on_machine.setdefault(machine, set()).add(name)
 
     def drop(self, name: RecordName) -> None:
-        """The record is shown whole, or is there no more."""
+        """Releases a record that was applied completely or no longer exists."""
         records = self._of_job.get(name.job)
         record = records.pop(name.number, None) if records is not None else None
         if record is None:
@@ -66,9 +66,9 @@
                 del self._on_machine[machine]
 
     def of_job(self, job: str) -> Iterable[tuple[int, HeldRecord]]:
-        """The job's records that are held, by their numbers."""
+        """Returns the held records of the job, sorted by number."""
         return sorted(self._of_job.get(job, {}).items())
 
     def on_machine(self, machine: str) -> list[RecordName]:
-        """Which records have places on the machine."""
+        """Returns the held records that have places on the machine."""
         return sorted(self._on_machine.get(machine, ()))
--- a/src/tideusher/core/model/job_record.py
+++ b/src/tideusher/core/model/job_record.py
@@ -1,4 +1,4 @@
-"""A job's own record in the state service: how it is written when it is accepted, changed and over."""
+"""Encoding of a job's own record in the state service: as accepted, as changed, and as final."""
 
 from typing import Any
 
@@ -8,46 +8,46 @@
 from tideusher.core.model.records import OPEN, Job
 from tideusher.wire.jobs import JobSpec
 
-#: So many of a job's stops are on record while it is open.
+#: Stops of a job that its record keeps while it is open.
 MAX_STOPS_KEPT = 6
 
 
 def open_value(spec: JobSpec, wall_us: int) -> dict[str, Any]:
-    """A job's own record as accepted; held from the start if it says so."""
+    """Returns the record of an accepted job; held from the start if its spec asks for that."""
     value = {"st": OPEN, "at": wall_us, "spec": msgspec.to_builtins(spec)}
     return held_value(value, spec.hold) if spec.hold else value
 
 
 def is_final(key: str, value: Any) -> bool:
-    """Is this the record of a job that is over?"""
+    """Returns whether this is the record of a job that is over."""
     return key.startswith(keys.JOB_PREFIX) and value is not None and value.get("st", OPEN) != OPEN
 
 
 def held_value(value: dict[str, Any], by: str) -> dict[str, Any]:
-    """An open job's record with a hold on it; without one if `by` is empty."""
+    """Returns an open job's record with a hold; without one if `by` is empty."""
     rest = {name: part for name, part in value.items() if name != "hold"}
     return {**rest, "hold": by} if by else rest
 
 
 def holder(value: dict[str, Any]) -> str:
-    """Who holds the job of this record; empty: nobody."""
+    """Returns who holds the job of this record; empty if nobody does."""
     return value.get("hold", "")
 
 
 def shrunk_value(value: dict[str, Any], tasks: int) -> dict[str, Any]:
-    """An open service's record with fewer tasks; as it is if it has no more than that."""
+    """Returns an open service's record with at most `tasks` tasks."""
     if value["spec"]["pieces"] <= tasks:
         return value
     return {**value, "spec": {**value["spec"], "pieces": tasks}}
 
 
 def over_limit_reason(spec: JobSpec) -> str:
-    """Why a task was stopped for good."""
+    """Returns the reason of the final stop of a task that exceeded its job's limit."""
     return f"it ran longer than its job's limit of {spec.limit_s:g} s"
 
 
 def final_value(job: Job, status: str, why: str = "") -> dict[str, Any]:
-    """A job's own record once it is over: kept for ever, so kept small."""
+    """Returns the record of a job that is over; it is kept forever and therefore small."""
     value: dict[str, Any] = {"st": status, "at": job.submitted_us, "n": job.spec.tasks}
     if why:
         value["why"] = why
--- a/src/tideusher/core/model/keys.py
+++ b/src/tideusher/core/model/keys.py
@@ -1,4 +1,4 @@
-"""The names of our keys in the state service."""
+"""Names of the scheduler's keys in the state service."""
 
 PREFIX = "t/"
 LEADER = "t/leader"
@@ -14,57 +14,57 @@
 
 
 def job_key(job: str) -> str:
-    """The job's own record: what was submitted, and whether it is over."""
+    """Returns the key of the job's own record: its spec, and whether it is over."""
     return JOB_PREFIX + job
 
 
 def chunk_key(job: str, number: int) -> str:
-    """Who runs where, for a range of the job's tasks."""
+    """Returns the key of the places of a range of the job's tasks."""
     return f"{CHUNK_PREFIX}{job}/{number}"
 
 
 def rental_key(name: str) -> str:
-    """A rental request with its machines."""
+    """Returns the key of a rental request with its machines."""
     return RENTAL_PREFIX + name
 
 
 def fall_key(name: str, number: int) -> str:
-    """A fall's plain record (0), and from 1 on the machines of it whose return is not confirmed."""
+    """Returns the key of a mass failure's summary (0) or, from 1 on, of its machines not confirmed as returned."""
     return f"{FALL_PREFIX}{name}/{number}"
 
 
 def split_fall_key(key: str) -> tuple[str, int]:
-    """The inverse of fall_key."""
+    """Returns the mass failure and the part number of its key."""
     name, _, number = key[len(FALL_PREFIX) :].rpartition("/")
     return name, int(number)
 
 
 def script_prefix(job: str) -> str:
-    """The pieces of the job's script. Outside the watched prefix: no node keeps scripts in memory."""
+    """Returns the key prefix of the job's script, outside the watched prefix: no node keeps scripts in memory."""
     return f"{SCRIPT_PREFIX}{job}/"
 
 
 def script_key(job: str, number: int) -> str:
-    """One piece of the job's script."""
+    """Returns the key of one part of the job's script."""
     return f"{script_prefix(job)}{number}"
 
 
 def script_number(key: str) -> int:
-    """Which piece this is."""
+    """Returns the number of a part of a script."""
     return int(key.rpartition("/")[2])
 
 
 def split_chunk_key(key: str) -> tuple[str, int]:
-    """The inverse of chunk_key."""
+    """Returns the job and the chunk number of a key from chunk_key."""
     job, _, number = key[len(CHUNK_PREFIX) :].rpartition("/")
     return job, int(number)
 
 
 def page_key(number: int) -> str:
-    """Places and ends of many small jobs."""
+    """Returns the key of a page with the places and results of many small jobs."""
     return f"{PAGE_PREFIX}{number}"
 
 
 def page_number(key: str) -> int:
-    """The inverse of page_key."""
+    """Returns the page number of a key from page_key."""
     return int(key[len(PAGE_PREFIX) :])
--- a/src/tideusher/core/model/placements.py
+++ b/src/tideusher/core/model/placements.py
@@ -1,10 +1,10 @@
-"""Where each job's first tasks are on record, as the changes of the state service tell.
+"""Location of the record of each job's first tasks, tracked from the changes of the state service.
 
-That is a record of its own, or a member of a shared page (`pages`). The newest one counts.
+The record is stored under a key of its own or as a member of a shared page (`pages`); the newest one counts.
 
-A record moves from one key to another in a single transaction, but whoever follows sees one key after the other, and
-whoever reads key by key may see both or neither. So a record that is gone from where it was while its job is open is
-on its way: what it said holds until it is seen elsewhere.
+A record moves from one key to another in a single transaction, but a reader of the changes gets one key after the
+other, and a reader of single keys may find both or neither. So a record that disappears from its key while its job is
+open is in transit: its last content applies until it is found under another key.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -18,44 +18,44 @@
 class Placement:
     """The newest record of a job's first tasks."""
 
-    key: str  # under which key it is; empty: it is on its way to another
+    key: str  # key that it is stored under; empty: in transit to another
     value: Any
     stamp: int
 
 
 class Placements:
-    """All pages, and the newest record of each job, by the changes seen so far."""
+    """All pages and the newest record of each job, as of the changes applied so far."""
 
     def __init__(self, is_open: Callable[[str], bool]) -> None:
-        """`is_open`: is a job, as far as is known here, not over?"""
+        """`is_open`: returns whether a job is open as far as is known here."""
         self._is_open = is_open
         self._pages: dict[str, Mapping[str, Any]] = {}
-        self._first: dict[str, Placement] = {}
+        self._newest: dict[str, Placement] = {}
 
     def first(self, job: str) -> Any:
-        """The newest record of the job's first tasks; None: there is none."""
-        placement = self._first.get(job)
+        """Returns the newest record of the job's first tasks; None if there is none."""
+        placement = self._newest.get(job)
         return placement.value if placement is not None else None
 
     def page(self, key: str) -> Mapping[str, Any] | None:
-        """A page as it was last seen."""
+        """Returns the members of a page as last applied."""
         return self._pages.get(key)
 
     def is_in(self, job: str, key: str) -> bool:
-        """Is the newest record of the job's first tasks under this key?"""
-        known = self._first.get(job)
+        """Returns whether the newest record of the job's first tasks is stored under this key."""
+        known = self._newest.get(job)
         return known is not None and known.key == key
 
     def pages(self) -> Iterator[tuple[str, Mapping[str, Any]]]:
-        """Each page with its members."""
+        """Iterates over the pages with their members."""
         return iter(self._pages.items())
 
     def pages_by_job(self) -> dict[str, str]:
-        """The page of each job whose newest record is in one."""
-        return {job: one.key for job, one in self._first.items() if one.key in self._pages}
+        """Returns the page key of each job whose newest record is in a page."""
+        return {job: placement.key for job, placement in self._newest.items() if placement.key in self._pages}
 
     def page_changed(self, key: str, value: Mapping[str, Any] | None, stamp: int) -> list[tuple[str, Any]]:
-        """A page is like this now, or gone (None); returns the jobs whose record changed, with that (None: gone)."""
+        """Applies a page, changed or removed (None); returns jobs whose record changed, with it (None: removed)."""
         before, now = self._pages.get(key, {}), value or {}
         if value is None:
             self._pages.pop(key, None)
@@ -63,41 +63,41 @@
             self._pages[key] = value
         changed: list[tuple[str, Any]] = []
         for job, record in now.items():
-            known = self._first.get(job)
+            known = self._newest.get(job)
             if known is not None and known.stamp > stamp:
                 continue
-            self._first[job] = Placement(key, record, stamp)
+            self._newest[job] = Placement(key, record, stamp)
             if known is None or known.value != record:
                 changed.append((job, record))
-        changed += [(job, None) for job in before if job not in now and self._leaves(job, key)]
+        changed += [(job, None) for job in before if job not in now and self._left_key(job, key)]
         return changed
 
     def own_changed(self, job: str, value: Any, stamp: int) -> bool:
-        """The job's own record is like this now, or gone (None); False if that is not the newest record."""
+        """Applies a job's own record, changed or removed (None); returns False if it is not the newest record."""
         key = keys.chunk_key(job, 0)
-        known = self._first.get(job)
+        known = self._newest.get(job)
         if value is None:
-            return known is None or self._leaves(job, key)
+            return known is None or self._left_key(job, key)
         if known is not None and known.stamp > stamp:
             return False
-        self._first[job] = Placement(key, value, stamp)
+        self._newest[job] = Placement(key, value, stamp)
         return True
 
     def is_over(self, job: str) -> bool:
-        """The job has ended; True if its record was gone already, and with it what it said."""
-        known = self._first.get(job)
+        """Handles the end of a job: drops a record in transit; returns True if there was one."""
+        known = self._newest.get(job)
         if known is None or known.key:
             return False
-        del self._first[job]
+        del self._newest[job]
         return True
 
-    def _leaves(self, job: str, key: str) -> bool:
-        """The job's record is not under this key any more; True if it is nowhere, and not on its way either."""
-        known = self._first.get(job)
+    def _left_key(self, job: str, key: str) -> bool:
+        """Handles that a key no longer holds the job's record; returns True if it was removed, not in transit."""
+        known = self._newest.get(job)
         if known is None or known.key != key:
             return False
         if self._is_open(job):
             known.key = ""
             return False
-        del self._first[job]
+        del self._newest[job]
         return True
--- a/src/tideusher/core/model/rentals.py
+++ b/src/tideusher/core/model/rentals.py
@@ -1,4 +1,4 @@
-"""Rental requests and the machines that they brought, as they are written to the state service."""
+"""Rental requests with their machines, as they are written to the state service."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -6,15 +6,15 @@
 
 from tideusher.core.model.records import Machine
 
-#: With the name of a machine that no rental named: the rental that it is kept under.
+#: Prefix of the rental of an adopted machine, followed by the machine's name.
 ADOPTED = "adopted-"
 
 
 @dataclass(slots=True, eq=False)
 class Rental:
-    """A rental request: persisted as an intent first, then with the machines it brought.
+    """A rental request: persisted as an intent first, then with the machines that the cloud provided.
 
-    `machines` and `returning` (those of them whose return was asked) are changed by a `RentalIndex` only.
+    Only a `RentalIndex` changes `machines` and `returning` (those of them whose return was requested).
     """
 
     name: str
@@ -29,11 +29,11 @@
 
     @property
     def adopted(self) -> bool:
-        """Was no rental of ours known to have brought its machine?"""
+        """True if its machine was adopted: no known rental had provided it."""
         return self.name.startswith(ADOPTED)
 
     def value(self) -> dict[str, Any] | None:
-        """As persisted; None once nothing of it is left."""
+        """Returns the record as persisted; None once it is to be removed."""
         if self.given_up or (self.answered and not self.machines):
             return None
         return {
@@ -42,34 +42,34 @@
             "spot": self.spot,
             "count": self.count,
             "answered": self.answered,
-            "machines": list(self.machines),  # a transaction that waits for its turn must not change
+            "machines": list(self.machines),  # copied, as a queued transaction must not change
             "returning": list(self.returning),
         }
 
 
 class RentalIndex:
-    """Which rentals name each machine, and whether its return was asked.
+    """Index of the rentals that name each machine, and whether the machine's return was requested.
 
-    Usually one rental names a machine. Two do while an adoption is replaced by the rental that brought the machine,
-    and after a leader ended in between: a returned machine can be adopted by a late copy of a report before the
-    record of its rental is written. What one of them says of its return then holds whichever of them owns it.
+    Usually one rental names a machine. Two name it while the rental that provided a machine replaces its adoption,
+    and after a leader ended in between: a late copy of a report can have a returned machine adopted before the record
+    of its rental is written. A return requested in either of them then applies, whichever owns the machine.
     """
 
     def __init__(self, machines: Mapping[str, Machine]) -> None:
-        """`machines`: those that are known, by name; each is kept told which rental owns it."""
+        """`machines`: known machines by name; the index keeps their `rental` up to date."""
         self._machines = machines
-        self._naming: dict[str, list[Rental]] = {}
+        self._rentals_of: dict[str, list[Rental]] = {}
 
     def rentals_with(self, machine: str) -> tuple[Rental, ...]:
-        """The rentals that name the machine, its owner first; empty: none does."""
-        return tuple(self._naming.get(machine, ()))
+        """Returns the rentals that name the machine, its owner first."""
+        return tuple(self._rentals_of.get(machine, ()))
 
     def return_asked(self, machine: str) -> bool:
-        """Does any rental say that the machine's return was asked?"""
-        return any(machine in rental.returning for rental in self._naming.get(machine, ()))
+        """Returns whether the machine's return was requested in any rental."""
+        return any(machine in rental.returning for rental in self._rentals_of.get(machine, ()))
 
     def add(self, rental: Rental, machine: str) -> None:
-        """The rental names the machine from now on."""
+        """Adds the machine to the rental."""
         if self.return_asked(machine) and machine not in rental.returning:
             rental.returning.append(machine)
         if machine not in rental.machines:
@@ -77,27 +77,27 @@
         self._link(rental, machine)
 
     def remove(self, rental: Rental, machine: str) -> None:
-        """The rental names the machine no more."""
+        """Removes the machine from the rental."""
         rental.machines.remove(machine)
         if machine in rental.returning:
             rental.returning.remove(machine)
         self._unlink(rental, machine)
 
     def mark_return_requested(self, machine: str) -> None:
-        """The machine's return is asked: every rental that names it says so."""
-        for rental in self._naming.get(machine, ()):
+        """Marks the machine as returning in every rental that names it."""
+        for rental in self._rentals_of.get(machine, ()):
             if machine not in rental.returning:
                 rental.returning.append(machine)
 
     def forget(self, machine: str) -> tuple[Rental, ...]:
-        """The machine is gone: no rental names it any more; returns those that did."""
+        """Removes the machine from all rentals; returns those that named it."""
         rentals = self.rentals_with(machine)
         for rental in rentals:
             self.remove(rental, machine)
         return rentals
 
     def replace(self, rental: Rental, machines: Iterable[str], returning: Iterable[str]) -> None:
-        """The rental names these machines and no others, as its record says."""
+        """Sets the rental's machines, and those being returned, to the content of its record."""
         before, rental.machines, rental.returning = rental.machines, list(machines), list(returning)
         for machine in before:
             if machine not in rental.machines:
@@ -106,21 +106,21 @@
             self._link(rental, machine)
 
     def _link(self, rental: Rental, machine: str) -> None:
-        rentals = self._naming.setdefault(machine, [])
+        rentals = self._rentals_of.setdefault(machine, [])
         if rental not in rentals:
             rentals.append(rental)
-            rentals.sort(key=lambda one: (one.adopted, one.name))
-        self._tell_owner(machine, rentals)
+            rentals.sort(key=lambda rental: (rental.adopted, rental.name))
+        self._update_owner(machine, rentals)
 
     def _unlink(self, rental: Rental, machine: str) -> None:
-        rentals = self._naming[machine]
+        rentals = self._rentals_of[machine]
         rentals.remove(rental)
         if rentals:
-            self._tell_owner(machine, rentals)
+            self._update_owner(machine, rentals)
         else:
-            del self._naming[machine]
+            del self._rentals_of[machine]
 
-    def _tell_owner(self, machine: str, rentals: list[Rental]) -> None:
+    def _update_owner(self, machine: str, rentals: list[Rental]) -> None:
         known = self._machines.get(machine)
         if known is not None:
             known.rental = rentals[0].name
--- a/src/tideusher/core/model/transactions.py
+++ b/src/tideusher/core/model/transactions.py
@@ -1,7 +1,7 @@
-"""What one transaction is to write, put together within the limits of the state service: changes, conditions, bytes.
+"""Builds transactions within the limits of the state service on changes, guards and bytes.
 
-An entry is written to a key of its own, or into a page that it shares with others. A page that is written for one of
-them takes along what else of it has changed, and leaves out what nobody wants any more.
+An entry is written to a key of its own or into a page that it shares with others. Writing a page for one of its
+members also writes the other changed members and leaves out the obsolete ones.
 """
 
 from collections.abc import Iterator
@@ -11,38 +11,38 @@
 import msgspec
 
 from tideusher.core.model.entries import Effect, Entry
-from tideusher.core.model.pages import FILLED, Page, Pages, member_size
+from tideusher.core.model.pages import FILL_SHARE, Page, Pages, member_size
 from tideusher.wire.state import Delete, Guard, Put
 
-#: The state service takes so many conditions for each change that it takes.
-GUARDS_A_CHANGE = 4
-#: Of the 64 KiB of a transaction this much is for values.
+#: Guards that the state service accepts per change.
+GUARDS_PER_CHANGE = 4
+#: Bytes for values, of the 64 KiB of a transaction.
 MAX_VALUE_BYTES = 48 * 1024
 
 
 @dataclass(slots=True, eq=False)
 class PageDraft:
-    """A page as it is to be: what is not named in `changes` stays as it is stored."""
+    """A page as it will be written; members not in `changes` stay as they are stored."""
 
     page: Page
     size: int
-    changes: dict[str, Any] = field(default_factory=dict)  # None: it is not in this page any more
+    changes: dict[str, Any] = field(default_factory=dict)  # None: the member leaves this page
 
     def members(self) -> dict[str, Any]:
-        """What it is to hold."""
-        kept = {m: v for m, v in self.page.members.items() if m not in self.changes and m not in self.page.over}
+        """Returns the members to write."""
+        kept = {m: v for m, v in self.page.members.items() if m not in self.changes and m not in self.page.obsolete}
         return kept | {member: value for member, value in self.changes.items() if value is not None}
 
     def change(self, member: str, value: Any) -> None:
-        """The member is to be like this; None: not there."""
+        """Sets the new value of a member; None removes it."""
         self.size += self.growth(member, value)
         self.changes[member] = value
 
     def growth(self, member: str, value: Any) -> int:
-        """How many bytes more the page has with that."""
+        """Returns by how many bytes the page grows with that."""
         if member in self.changes:
             before = 0 if self.changes[member] is None else member_size(member, self.changes[member])
-        elif member in self.page.over:
+        elif member in self.page.obsolete:
             before = 0
         else:
             before = self.page.sizes.get(member, 0)
@@ -51,90 +51,90 @@
 
 @dataclass(slots=True)
 class Batch:
-    """What one transaction writes, with the effects that may be told once it is through."""
+    """A transaction, with the effects that run once it is committed."""
 
     entries: list[Entry]
     guards: list[Guard]
     writes: list[Put | Delete]
     effects: list[list[Effect]]  # of each entry
-    #: Entries that are in records of their own once it is through; the others are in pages, or nowhere.
+    #: Keys of entries that have records of their own once it is committed; the others are in pages or deleted.
     own: set[str] = field(default_factory=set)
-    #: Does it write the fence so that older versions are kept out? None: it does not write the fence.
-    fences: bool | None = None
-    #: The pages that it writes, and what each of them holds then.
+    #: Whether the fence that it writes excludes older versions; None: it does not write the fence.
+    fence_excludes_old: bool | None = None
+    #: The pages that it writes, with their new members.
     pages: list[tuple[Page, dict[str, Any]]] = field(default_factory=list)
 
 
-class Draft:
-    """A transaction that is being put together."""
+class TransactionDraft:
+    """A transaction under construction."""
 
-    def __init__(self, base: list[Guard], pages: Pages, most_changes: int, most_guards: int) -> None:
-        self._pages, self._most_changes, self._most_guards = pages, most_changes, most_guards
-        self._guards = {guard.key: guard for guard in base}
+    def __init__(self, base_guards: list[Guard], pages: Pages, max_changes: int, max_guards: int) -> None:
+        self._pages, self._max_changes, self._max_guards = pages, max_changes, max_guards
+        self._guards = {guard.key: guard for guard in base_guards}
         self._entries: list[Entry] = []
-        self._own: dict[str, tuple[Entry, Any]] = {}  # records of their own: the value, None to remove it
+        self._own: dict[str, tuple[Entry, Any]] = {}  # records under keys of their own; value None: delete
         self._drafts: dict[int, PageDraft] = {}
-        #: Pages from which something moves to others, in the order in which that began.
-        self._shedding: list[PageDraft] = []
-        #: Where members are to be that this transaction moves as they are.
+        #: Pages from which members move to other pages, in the order in which that began.
+        self._move_sources: list[PageDraft] = []
+        #: New page of each member that this transaction moves unchanged.
         self._moved: dict[str, Page] = {}
         self._bytes = 0
         #: As in `Batch`.
-        self.fences: bool | None = None
+        self.fence_excludes_old: bool | None = None
 
     @property
     def changes(self) -> int:
-        """Puts and deletes so far."""
+        """Number of puts and deletes so far."""
         return len(self._own) + len(self._drafts)
 
     @property
     def full(self) -> bool:
-        """Is there no room for one more change?"""
-        return self.changes >= self._most_changes or self._bytes > MAX_VALUE_BYTES
+        """True if no further change fits."""
+        return self.changes >= self._max_changes or self._bytes > MAX_VALUE_BYTES
 
     @property
     def empty(self) -> bool:
-        """Does it write nothing?"""
+        """True if it writes nothing."""
         return not self.changes
 
     # ---------------------------------------------------------------- one entry
 
     def add(self, entry: Entry, value: Any) -> bool:
-        """Write this value for the entry; False if there is no room for that in this transaction."""
+        """Adds a write of this value for the entry; returns False if it does not fit into this transaction."""
         plan = self._plan(entry, value)
         if plan is None:
             return False
-        self._carry_out(plan, entry, value)
+        self._apply_plan(plan, entry, value)
         self._entries.append(entry)
         return True
 
-    def _carry_out(self, plan: "_Plan", entry: Entry, value: Any) -> None:
+    def _apply_plan(self, plan: "_Plan", entry: Entry, value: Any) -> None:
         self._guards.update((guard.key, guard) for guard in plan.guards)
         if plan.writes_own:
             self._own[entry.key] = (entry, value)
             self._bytes += len(msgspec.json.encode(value))
         elif plan.clears_own:
             self._own[entry.key] = (entry, None)
-        if plan.home is not None and plan.home is not plan.target:
+        if plan.source is not None and plan.source is not plan.target:
             if plan.target is not None:
-                self._shed(plan.home)
-            self._change(plan.home, entry.member, None)
+                self._mark_move_source(plan.source)
+            self._change_member(plan.source, entry.member, None)
         if plan.target is not None:
-            self._begin(plan.target)
-            self._change(plan.target, entry.member, value)
+            self._add_draft(plan.target)
+            self._change_member(plan.target, entry.member, value)
 
     def _plan(self, entry: Entry, value: Any) -> "_Plan | None":
-        home = self._home(entry.member)
-        to_page = value is not None and bool(entry.member) and self._may_share(entry.member, value)
-        plan = _Plan(home)
-        if home is not None:
-            if not self._open(home):
+        source = self._page_of(entry.member)
+        to_page = value is not None and bool(entry.member) and self._may_be_in_page(entry.member, value)
+        plan = _Plan(source)
+        if source is not None:
+            if not self._add_page(source):
                 return None
-            home = plan.home = self._home(entry.member)  # it may have been moved out of a page that is too large
+            source = plan.source = self._page_of(entry.member)  # a page over the limit may have moved it out
         if to_page:
-            plan.target = self._target(entry.member, value, home)
+            plan.target = self._target_page(entry.member, value, source)
             plan.clears_own = entry.stamp > 0
-            guards = entry.extra_guards() if _places_anew(value, self._pages.stored(entry.member)) else []
+            guards = entry.extra_guards() if _has_new_place(value, self._pages.stored(entry.member)) else []
         else:
             plan.writes_own = value is not None
             plan.clears_own = value is None and entry.stamp > 0
@@ -142,98 +142,105 @@
         plan.guards = [guard for guard in guards if guard.key not in self._guards]
         if plan.writes_own or plan.clears_own:
             plan.guards.append(Guard(entry.key, entry.stamp))
-        return plan if self._has_room(plan, entry, value) else None
+        return plan if self._fits(plan, entry, value) else None
 
-    def _home(self, member: str) -> Page | None:
-        """Where the member is once this transaction is through as it stands."""
+    def _page_of(self, member: str) -> Page | None:
+        """Returns the page of the member after this transaction as built so far."""
         return (self._moved.get(member) or self._pages.home(member)) if member else None
 
-    def _may_share(self, member: str, value: Any) -> bool:
-        kept_out = self._pages.fenced if self.fences is None else self.fences
-        return self._pages.open and kept_out and len("{}") + member_size(member, value) <= self._pages.limit
+    def _may_be_in_page(self, member: str, value: Any) -> bool:
+        old_versions_excluded = self._pages.fenced if self.fence_excludes_old is None else self.fence_excludes_old
+        return (
+            self._pages.open and old_versions_excluded and len("{}") + member_size(member, value) <= self._pages.limit
+        )
 
-    def _target(self, member: str, value: Any, home: Page | None) -> Page:
-        """Where the member is to be: it stays where it is unless it has grown too large for that page."""
-        if home is not None:
-            draft = self._drafts[home.number]
+    def _target_page(self, member: str, value: Any, source: Page | None) -> Page:
+        """Returns the page to write the member to: its present one unless the member no longer fits there."""
+        if source is not None:
+            draft = self._drafts[source.number]
             if draft.size + draft.growth(member, value) <= self._pages.limit:
-                return home
-        return self._page_for(member_size(member, value), home)
+                return source
+        return self._page_with_space(member_size(member, value), source)
 
-    def _page_for(self, size: int, not_this: Page | None) -> Page:
-        return self._drafted_with_room(size, not_this) or self._pages.roomiest(size, self.drafted())
+    def _page_with_space(self, size: int, excluded: Page | None) -> Page:
+        return self._drafted_page_with_space(size, excluded) or self._pages.emptiest(size, self.drafted())
 
-    def _drafted_with_room(self, size: int, not_this: Page | None) -> Page | None:
-        room = FILLED * self._pages.limit - size
+    def _drafted_page_with_space(self, size: int, excluded: Page | None) -> Page | None:
+        space = FILL_SHARE * self._pages.limit - size
         for draft in self._drafts.values():
-            if draft.page is not not_this and draft not in self._shedding and draft.size <= room:
+            if draft.page is not excluded and draft not in self._move_sources and draft.size <= space:
                 return draft.page
         return None
 
-    def _has_room(self, plan: "_Plan", entry: Entry, value: Any) -> bool:
+    def _fits(self, plan: "_Plan", entry: Entry, value: Any) -> bool:
         more_pages = int(plan.target is not None and plan.target.number not in self._drafts)
         own = int(plan.writes_own or plan.clears_own)
         size = len(msgspec.json.encode(value)) if value is not None else 0
         if plan.target is not None and more_pages:
             size += plan.target.kept_size
-        if self.changes + own + more_pages > self._most_changes:
+        if self.changes + own + more_pages > self._max_changes:
             return False
-        if len(self._guards) + len(plan.guards) + more_pages > self._most_guards:
+        if len(self._guards) + len(plan.guards) + more_pages > self._max_guards:
             return False
         return self.empty or self._bytes + size <= MAX_VALUE_BYTES
 
     # ---------------------------------------------------------------- pages
 
     def drafted(self) -> list[Page]:
-        """The pages that are to be written."""
+        """Returns the pages that the transaction writes."""
         return [draft.page for draft in self._drafts.values()]
 
     def add_page(self, page: Page) -> bool:
-        """Write a page for what it need not hold any more; False if there is no room."""
-        return self._open(page)
+        """Writes a page without its obsolete members; returns False if it does not fit into this transaction."""
+        return self._add_page(page)
 
-    def _open(self, page: Page) -> bool:
-        """Have the page written; one that is over the limit moves out what is too much, at once or not at all."""
+    def _add_page(self, page: Page) -> bool:
+        """Adds the page to the transaction; returns False if it does not fit.
+
+        From a page over the limit all excess members move out in the same transaction, or the page is not added.
+        """
         if page.number in self._drafts:
             return True
         limit, size = self._pages.limit, page.kept_size
         excess: list[str] = []
         if size > limit:
-            excess, size = _largest(page, size - round(FILLED * limit))
-        more = 1 + _pages_for([page.sizes[member] for member in excess], FILLED * limit)
-        if self.changes + more > self._most_changes or len(self._guards) + more > self._most_guards:
+            excess, size = _largest_members(page, size - round(FILL_SHARE * limit))
+        page_count = 1 + _pages_needed([page.sizes[member] for member in excess], FILL_SHARE * limit)
+        if self.changes + page_count > self._max_changes or len(self._guards) + page_count > self._max_guards:
             return False
         if not self.empty and self._bytes + page.kept_size > MAX_VALUE_BYTES:
             return False
-        self._begin(page)
+        self._add_draft(page)
         for member in excess:
-            self._move(member, page.members[member], page)
+            self._move_member(member, page.members[member], page)
         return True
 
-    def _begin(self, page: Page) -> None:
-        """Write the page as it is, less what nobody wants, if it is not to be written already."""
+    def _add_draft(self, page: Page) -> None:
+        """Adds the page without its obsolete members, unless it was added already."""
         if page.number in self._drafts:
             return
         self._drafts[page.number] = PageDraft(page, page.kept_size)
         self._guards[page.key] = Guard(page.key, page.stamp)
         self._bytes += page.kept_size
 
-    def _move(self, member: str, value: Any, page: Page) -> None:
-        """What is stored of a member goes to another page as it is."""
-        self._shed(page)
-        target = self._drafted_with_room(member_size(member, value), page) or self._pages.fresh(self.drafted())
-        self._begin(target)
-        self._change(page, member, None)
-        self._change(target, member, value)
+    def _move_member(self, member: str, value: Any, page: Page) -> None:
+        """Moves a member unchanged to another page."""
+        self._mark_move_source(page)
+        target = self._drafted_page_with_space(member_size(member, value), page) or self._pages.new_page(
+            self.drafted()
+        )
+        self._add_draft(target)
+        self._change_member(page, member, None)
+        self._change_member(target, member, value)
         self._moved[member] = target
 
-    def _shed(self, page: Page) -> None:
-        """Something moves from this page to another: from now on nothing moves into it."""
+    def _mark_move_source(self, page: Page) -> None:
+        """Marks the page as the source of a move: no member moves into it from now on."""
         draft = self._drafts[page.number]
-        if draft not in self._shedding:
-            self._shedding.append(draft)
+        if draft not in self._move_sources:
+            self._move_sources.append(draft)
 
-    def _change(self, page: Page, member: str, value: Any) -> None:
+    def _change_member(self, page: Page, member: str, value: Any) -> None:
         draft = self._drafts[page.number]
         self._bytes += draft.growth(member, value)
         draft.change(member, value)
@@ -241,63 +248,66 @@
     # ---------------------------------------------------------------- the transaction
 
     def batch(self) -> Batch:
-        """The transaction.
+        """Returns the finished transaction.
 
-        Of two keys between which something moves the one that gains it comes first: whoever follows the changes one
-        by one never sees it nowhere.
+        When a member moves between two keys, the key that receives it is written first, so that a reader that
+        applies the changes one by one always sees the member in at least one place.
         """
         writes: list[Put | Delete] = [Put(e.key, value) for e, value in self._own.values() if value is not None]
-        pages = [(draft.page, draft.members()) for draft in self._in_order()]
+        pages = [(draft.page, draft.members()) for draft in self._pages_in_write_order()]
         writes += [Put(page.key, members) if members else Delete(page.key) for page, members in pages]
         writes += [Delete(entry.key) for entry, value in self._own.values() if value is None]
         effects = [entry.effects for entry in self._entries]
         for entry in self._entries:
             entry.effects, entry.dirty = [], False
         own = {entry.key for entry, value in self._own.values() if value is not None}
-        return Batch(self._entries, list(self._guards.values()), writes, effects, own, self.fences, pages)
+        return Batch(self._entries, list(self._guards.values()), writes, effects, own, self.fence_excludes_old, pages)
 
-    def _in_order(self) -> Iterator[PageDraft]:
-        """Nothing moves into a page that sheds: those come last, the one that began to first at the very end."""
-        yield from (draft for draft in self._drafts.values() if draft not in self._shedding)
-        yield from reversed(self._shedding)
+    def _pages_in_write_order(self) -> Iterator[PageDraft]:
+        """Yields the pages in write order.
+
+        No member moves into a page that is the source of a move, so these come last, the earliest source at the end.
+        """
+        yield from (draft for draft in self._drafts.values() if draft not in self._move_sources)
+        yield from reversed(self._move_sources)
 
 
 @dataclass(slots=True)
 class _Plan:
-    """How one entry is written."""
+    """How to write one entry."""
 
-    home: Page | None  # where it is now, which is written as well
-    target: Page | None = None  # where it is to be
+    source: Page | None  # its present page, which is written too
+    target: Page | None = None  # the page to write it to
     writes_own: bool = False
     clears_own: bool = False
     guards: list[Guard] = field(default_factory=list)
 
 
-def _places_anew(value: dict[str, Any], stored: dict[str, Any] | None) -> bool:
-    """Does the value hold a place that is not on record yet? The time at which a task began is no part of a place."""
+def _has_new_place(value: dict[str, Any], stored: dict[str, Any] | None) -> bool:
+    """Returns whether the value has a place that is not on record yet; when a task began is no part of its place."""
     before = (stored or {}).get("a", {})
     return any(list(place[:2]) != list(before.get(index, ())[:2]) for index, place in value.get("a", {}).items())
 
 
-def _pages_for(sizes: list[int], room: float) -> int:
-    """How many pages hold members of these sizes, the largest put first into the first page with room."""
-    left: list[float] = []
+def _pages_needed(sizes: list[int], space: float) -> int:
+    """Returns how many pages members of these sizes need, packed first-fit in decreasing size."""
+    free: list[float] = []
     for size in sorted(sizes, reverse=True):
-        number = next((number for number, rest in enumerate(left) if size <= rest), len(left))
-        if number == len(left):
-            left.append(room)
-        left[number] -= size
-    return len(left)
+        number = next((number for number, rest in enumerate(free) if size <= rest), len(free))
+        if number == len(free):
+            free.append(space)
+        free[number] -= size
+    return len(free)
 
 
-def _largest(page: Page, excess: int) -> tuple[list[str], int]:
-    """The fewest members that take so many bytes, and the size of the page without them."""
+def _largest_members(page: Page, excess: int) -> tuple[list[str], int]:
+    """Returns the fewest members that take at least `excess` bytes, and the size of the page without them."""
     chosen: list[str] = []
     size = page.kept_size
-    for member in sorted(page.members, key=lambda one: -page.sizes[one]):
+    for member in sorted(page.members, key=lambda name: -page.sizes[name]):
         if excess <= 0:
             break
-        if member not in page.over:
+        if member not in page.obsolete:
             chosen.append(member)
             excess, size = excess - page.sizes[member], size - page.sizes[member]
     return chosen, size
--- a/src/tideusher/core/model/write_queue.py
+++ b/src/tideusher/core/model/write_queue.py
@@ -1,15 +1,14 @@
-"""Group commit of the leader's records: which keys differ from the state service, and in what order
-their effects may be told.
+"""Group commit of the leader's records: which keys differ from the state service, and the order of their effects.
 
-Every write is guarded by the leader's key and by the stamp of the key itself. The second guard is
-what makes a transaction that was given up on harmless: once a later one on the same key is through,
-the late one can never apply (docs/safety.md, 1 and 2).
+Every write is guarded by the leader's key and by the stamp of the key itself. The second guard makes an abandoned
+transaction harmless: once a later one on the same key is committed, the late one can never apply (docs/safety.md, 1
+and 2).
 
-It is not enough for a key that is not there: 0 guards its creation again once it was removed, or if its entry was
-dropped unwritten. So all transactions of a leader guard one more key, the fence, which the next one after a lost
-transaction writes: from then on the lost one is refused whatever it holds.
+That is not sufficient for a missing key: its stamp 0 guards its creation again after it was removed, or if its entry
+was dropped unwritten. So all transactions of a leader guard one more key, the fence, and the next transaction after a
+lost one writes it: from then on the lost one is refused whatever it contains.
 
-Small jobs' records share pages (`pages`): a page that is written for one of them takes along all that has changed.
+Records of small jobs share pages (`pages`): writing a page for one of them writes all its changed members.
 """
 
 from collections.abc import Callable, Iterable
@@ -18,14 +17,14 @@
 from tideusher.core.model.entries import Effect, Entry
 from tideusher.core.model.fair_queue import FairQueue
 from tideusher.core.model.pages import NULL, Pages
-from tideusher.core.model.transactions import GUARDS_A_CHANGE, Batch, Draft
+from tideusher.core.model.transactions import GUARDS_PER_CHANGE, Batch, TransactionDraft
 from tideusher.wire.state import Guard
 
 __all__ = ["Batch", "Effect", "Entry", "WriteQueue"]
 
 
 class WriteQueue:
-    """Dirty entries in the order in which they became so; urgent ones first, in turns (`turns`)."""
+    """Dirty entries in the order in which they became dirty; urgent ones first, round robin (`fair_queue`)."""
 
     def __init__(
         self, leader_key: str, token: int, max_ops: int, fence: Entry | None = None, pages: Pages | None = None
@@ -34,76 +33,78 @@
         self._max_ops, self._fence = max_ops, fence
         self._pages = pages or Pages(lambda: 0, lambda key: None)
         self._urgent = FairQueue()
-        self._lazy: dict[str, Entry] = {}
-        self._members: dict[str, Entry] = {}  # of what waits, that which may be in pages
+        self._deferred: dict[str, Entry] = {}
+        self._queued_members: dict[str, Entry] = {}  # waiting entries that may be stored in pages
         self._in_flight: Batch | None = None
 
     def enqueue(self, entry: Entry, effect: Effect | None = None, urgent: bool = True) -> None:
-        """The entry's value changed; `effect` runs once this change is in the state service."""
+        """Queues an entry whose value changed; `effect` runs once the change is in the state service."""
         entry.dirty = True
-        queued = self._urgent.get(entry.key) or self._lazy.get(entry.key)
+        queued = self._urgent.get(entry.key) or self._deferred.get(entry.key)
         if queued is not None and queued is not entry:
             self._replace(queued, entry)
         if effect is not None:
             entry.effects.append(effect)
         if urgent:
-            self._lazy.pop(entry.key, None)
+            self._deferred.pop(entry.key, None)
             self._urgent.add(entry)
         elif entry.key not in self._urgent:
-            self._lazy.setdefault(entry.key, entry)
+            self._deferred.setdefault(entry.key, entry)
         if entry.member:
-            self._members[entry.member] = entry
+            self._queued_members[entry.member] = entry
 
     def _replace(self, old: Entry, new: Entry) -> None:
-        """A record was dropped and made anew under the same key before the first was written out."""
+        """Replaces an entry whose record was dropped and created again under the same key before it was written."""
         new.stamp = old.stamp
         new.effects[:0] = old.effects
         if old.key in self._urgent:
             self._urgent.replace(new)
-        if old.key in self._lazy:
-            self._lazy[old.key] = new
+        if old.key in self._deferred:
+            self._deferred[old.key] = new
 
     def drop_member(self, entry: Entry) -> None:
-        """Nobody wants what a page holds for the entry: it costs no write of its own to leave it out."""
-        self._forget(entry)
+        """Drops the entry's member from its page; that takes no write of its own."""
+        self._dequeue(entry)
         entry.effects, entry.dirty = [], False
         self._pages.drop_member(entry.member)
 
     def is_written(self, entry: Entry) -> bool:
-        """Is the entry's present value in the state service?"""
+        """Returns whether the entry's present value is in the state service."""
         return not entry.dirty and (self._in_flight is None or entry not in self._in_flight.entries)
 
     def never_written(self, entry: Entry) -> bool:
-        """Is nothing under the entry's key in the state service, or on its way there?"""
+        """Returns whether nothing is stored under the entry's key and no write of it is in flight."""
         return not entry.stamp and (self._in_flight is None or entry not in self._in_flight.entries)
 
     @property
     def waiting(self) -> int:
-        """Keys that wait to be written."""
-        return len(self._urgent) + len(self._lazy)
+        """Number of keys that wait to be written."""
+        return len(self._urgent) + len(self._deferred)
 
-    def next_batch(self, room: int, lazy: int | None = None) -> Batch | None:
-        """The next transaction, at most `room` writes; None when nothing waits or one is in flight.
+    def next_batch(self, max_writes: int, lazy: int | None = None) -> Batch | None:
+        """Returns the next transaction of at most `max_writes` writes; None if nothing waits or one is in flight.
 
-        `lazy`: of these at most so many that are not urgent. Where each write takes a tenth of a second, a batch
-        filled up with others makes the next urgent one wait for them.
+        `lazy`: maximum number of these that are not urgent. Where each write takes a tenth of a second, a batch
+        filled with those delays the next urgent one.
         """
-        if self._in_flight is not None or room < 1:
+        if self._in_flight is not None or max_writes < 1:
             return None
-        self._pages.put_together()
-        base = [self._leader]
+        self._pages.begin_batch()
+        base_guards = [self._leader]
         if self._fence is not None:
-            base.append(Guard(self._fence.key, self._fence.stamp))
-        draft = Draft(base, self._pages, min(room, self._max_ops), GUARDS_A_CHANGE * self._max_ops)
-        nothing_to_write: list[Effect] = []  # what waited for entries that are as stored
+            base_guards.append(Guard(self._fence.key, self._fence.stamp))
+        draft = TransactionDraft(
+            base_guards, self._pages, min(max_writes, self._max_ops), GUARDS_PER_CHANGE * self._max_ops
+        )
+        immediate_effects: list[Effect] = []  # effects of entries that are stored already
         with closing(self._urgent.in_turn()) as entries:
-            urgent = self._fill(draft, entries, nothing_to_write)
+            urgent = self._fill(draft, entries, immediate_effects)
         if urgent:
-            self._fill(draft, list(self._lazy.values()), nothing_to_write, lazy)
-        for page in self._pages.take_worn() if urgent else ():
+            self._fill(draft, list(self._deferred.values()), immediate_effects, lazy)
+        for page in self._pages.pages_to_compact() if urgent else ():
             draft.add_page(page)
-        self._take_along(draft, nothing_to_write)
-        for effect in nothing_to_write:
+        self._add_other_members(draft, immediate_effects)
+        for effect in immediate_effects:
             effect()
         if draft.empty:
             return None
@@ -111,71 +112,75 @@
         return self._in_flight
 
     def _fill(
-        self, draft: Draft, entries: Iterable[Entry], nothing_to_write: list[Effect], most: int | None = None
+        self,
+        draft: TransactionDraft,
+        entries: Iterable[Entry],
+        immediate_effects: list[Effect],
+        max_changes: int | None = None,
     ) -> bool:
-        """Add entries in their order; False if there is no room for the next one."""
+        """Adds entries in their order; returns False if the next one does not fit."""
         for entry in entries:
-            if draft.full or (most is not None and most <= 0 and not draft.empty):
+            if draft.full or (max_changes is not None and max_changes <= 0 and not draft.empty):
                 return False
             before = draft.changes
-            if not self._add(draft, entry, nothing_to_write):
+            if not self._add(draft, entry, immediate_effects):
                 return False
-            if most is not None:
-                most -= draft.changes - before
+            if max_changes is not None:
+                max_changes -= draft.changes - before
         return True
 
-    def _add(self, draft: Draft, entry: Entry, nothing_to_write: list[Effect]) -> bool:
-        """Add one entry, or find that there is nothing to write for it; False if there is no room."""
+    def _add(self, draft: TransactionDraft, entry: Entry, immediate_effects: list[Effect]) -> bool:
+        """Adds one entry unless it needs no write; returns False if it does not fit."""
         if not entry.valid():
-            self._forget(entry)
+            self._dequeue(entry)
             return True
         value = entry.value()
         if value is None and not entry.stamp and self._pages.home(entry.member) is None:
-            self._forget(entry)
+            self._dequeue(entry)
             entry.dirty = False
-            nothing_to_write += [*entry.effects, entry.settled]
+            immediate_effects += [*entry.effects, entry.settled]
             entry.effects = []
             return True
         if value is None and not entry.stamp and not entry.effects:
-            self.drop_member(entry)  # only a page holds it
+            self.drop_member(entry)  # it is stored only in a page
             return True
         if not draft.add(entry, value):
             return False
         if entry is self._fence:
-            draft.fences = value is NULL
-        self._forget(entry)
+            draft.fence_excludes_old = value is NULL
+        self._dequeue(entry)
         return True
 
-    def _take_along(self, draft: Draft, nothing_to_write: list[Effect]) -> None:
-        """What else has changed of the pages that are to be written."""
+    def _add_other_members(self, draft: TransactionDraft, immediate_effects: list[Effect]) -> None:
+        """Adds the other changed members of the pages that the transaction writes."""
         for page in draft.drafted():
             for member in page.members:
-                entry = self._members.get(member)
-                if entry is not None and not self._add(draft, entry, nothing_to_write):
+                entry = self._queued_members.get(member)
+                if entry is not None and not self._add(draft, entry, immediate_effects):
                     break
 
-    def _forget(self, entry: Entry) -> None:
-        """The entry does not wait any more."""
+    def _dequeue(self, entry: Entry) -> None:
+        """Removes the entry from the queue."""
         if self._urgent.get(entry.key) is entry:
             self._urgent.discard(entry.key)
-        if self._lazy.get(entry.key) is entry:
-            del self._lazy[entry.key]
-        if self._members.get(entry.member) is entry:
-            del self._members[entry.member]
+        if self._deferred.get(entry.key) is entry:
+            del self._deferred[entry.key]
+        if self._queued_members.get(entry.member) is entry:
+            del self._queued_members[entry.member]
 
-    # ---------------------------------------------------------------- what became of it
+    # ---------------------------------------------------------------- outcome
 
     def batch_committed(self, revision: int) -> None:
-        """The batch in flight is through: take the new stamps, then let its effects be told."""
+        """Handles the commit of the batch in flight: sets the new stamps, then runs its effects."""
         batch, self._in_flight = self._in_flight, None
         assert batch is not None
-        self._pages.written(batch.pages, revision)
-        if batch.fences is not None:
-            self._pages.fenced = batch.fences
+        self._pages.mark_written(batch.pages, revision)
+        if batch.fence_excludes_old is not None:
+            self._pages.fenced = batch.fence_excludes_old
         for entry in batch.entries:
             entry.stamp = revision if entry.key in batch.own else 0
         if self._fence is not None and self._pages.fenced and not (self._pages.open or self._pages.any):
-            self.enqueue(self._fence, urgent=False)  # nothing is left that older versions do not read
+            self.enqueue(self._fence, urgent=False)  # nothing is stored any more that older versions cannot read
         for effects in batch.effects:
             for effect in effects:
                 effect()
@@ -183,11 +188,11 @@
             entry.settled()
 
     def batch_failed(self, stamp_of: Callable[[str], int], unknown: bool = True) -> None:
-        """The batch failed, or its fate is `unknown`: all of it waits again, with stamps as now read.
+        """Handles a batch that failed or whose outcome is `unknown`: queues all of it again, with newly read stamps.
 
-        `stamp_of` must come from a read newer than the transaction. If the lost transaction applied
-        after all, its content is ours and the new stamp says so; if it did not, it never will once
-        the next transaction is through, which writes the fence.
+        `stamp_of` must come from a read newer than the transaction. If the lost transaction was applied
+        after all, the stored content is this leader's and the new stamp shows that; if it was not, it never
+        will be once the next transaction, which writes the fence, is committed.
         """
         batch, self._in_flight = self._in_flight, None
         assert batch is not None
@@ -196,18 +201,18 @@
             if unknown:
                 self.enqueue(self._fence)
         self._pages.reread([page for page, _ in batch.pages], stamp_of)
-        if batch.fences is not None:
+        if batch.fence_excludes_old is not None:
             self._pages.reread_fence(stamp_of)
         for entry, effects in zip(reversed(batch.entries), reversed(batch.effects), strict=True):
             entry.stamp = stamp_of(entry.key)
             entry.dirty = True
             entry.effects[:0] = effects
-            newer = self._urgent.get(entry.key) or self._lazy.get(entry.key)
+            newer = self._urgent.get(entry.key) or self._deferred.get(entry.key)
             if newer is not None and newer is not entry:
                 newer.stamp = entry.stamp
                 newer.effects[:0] = entry.effects
                 continue
-            self._lazy.pop(entry.key, None)
+            self._deferred.pop(entry.key, None)
             self._urgent.add_first(entry)
             if entry.member:
-                self._members[entry.member] = entry
+                self._queued_members[entry.member] = entry
--- a/tests/test_shared_records.py
+++ b/tests/test_shared_records.py
@@ -712,7 +712,7 @@
 
 
 def test_a_planted_loss_of_a_place_in_a_move_is_found(monkeypatch):
-    batch = transactions.Draft.batch
+    batch = transactions.TransactionDraft.batch
 
     def forgetful(draft):
         moved = {entry.member for entry, value in draft._own.values() if value is None}
@@ -723,12 +723,12 @@
         return put_together
 
     assert not broken(range(3))
-    monkeypatch.setattr(transactions.Draft, "batch", forgetful)
+    monkeypatch.setattr(transactions.TransactionDraft, "batch", forgetful)
     assert broken(range(6))
 
 
 def test_a_planted_missing_guard_lets_a_start_beat_a_cancellation(monkeypatch):
-    monkeypatch.setattr(transactions, "_places_anew", lambda value, stored: False)
+    monkeypatch.setattr(transactions, "_has_new_place", lambda value, stored: False)
     harness, placed, batch = two_jobs_in_flight()
     assert harness.state.cancel(placed[0].spec.id)
     assert harness.state.txn(batch.guards, batch.writes) is not None  # as it must not
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -87,7 +87,7 @@
     assert all(follower.cluster_state.matches(key, value) for key, (value, _) in harness.state.read_all().items())
 
 
-@pytest.mark.parametrize("forgotten", ["_vanish", "_ends", "_unname", "_note"])
+@pytest.mark.parametrize("forgotten", ["_remove_placed", "_apply_finished", "_machine_unnamed", "_note_unsettled"])
 def test_a_forgotten_transition_is_found(forgotten, monkeypatch):
     """Planted fault: the follower leaves out one kind of transition; the comparison, or `matches`, detects it."""
     harness, follower = None, None
@@ -98,7 +98,7 @@
     plain = rebuilt(harness.state, harness.clock, harness.config)
     assert follower.cluster_state.comparable() != plain.comparable()
     wrong = [key for key, (value, _) in harness.state.items.items() if not follower.cluster_state.matches(key, value)]
-    assert wrong or forgotten in ("_note", "_unname")  # there no record is left that could say it
+    assert wrong or forgotten in ("_note_unsettled", "_machine_unnamed")  # there no record is left that could say it
 
 
 # ---------------------------------------------------------------- the standby that a controller runs
