--- a/src/tideusher/actors/__init__.py
+++ b/src/tideusher/actors/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of a running controller: each owns its state and is spoken to by messages."""
+"""The parts of a running controller: actors that own their state and exchange messages, and their helpers."""
--- a/src/tideusher/actors/base.py
+++ b/src/tideusher/actors/base.py
@@ -1,4 +1,4 @@
-"""The one Actor base: an inbox, a greenlet that serves it, and questions with answers."""
+"""The base class of all actors: an inbox, a greenlet that serves it, and requests with answers."""
 
 import logging
 from collections.abc import Callable
@@ -10,10 +10,10 @@
 
 
 class Actor:
-    """Owns its state; other greenlets speak to it with `tell` and `ask`.
+    """An object that owns its state; other greenlets send it messages with `tell` and `ask`.
 
     A message is the name of an `on_*` method with its arguments. Handlers run one at a time and
-    must not block: I/O goes to a helper greenlet (`spawn`) that tells the actor how it ended.
+    must not block: I/O runs in a helper greenlet (`spawn`) that sends the result as a message.
     """
 
     def __init__(self, name: str) -> None:
@@ -21,35 +21,35 @@
         self._inbox: SimpleQueue = SimpleQueue()
 
     def start(self) -> None:
-        """Begin serving the inbox."""
+        """Starts to serve the inbox."""
         gevent.spawn(self._serve)
 
     def tell(self, message: str, *args: Any) -> None:
-        """Send a message without waiting."""
+        """Sends a message without waiting."""
         self._inbox.put((message, args, None))
 
     def ask(self, message: str, *args: Any) -> AsyncResult:
-        """Send a message; the result of its handler arrives in the returned AsyncResult."""
+        """Sends a message; the returned AsyncResult gets the result of its handler."""
         answer: AsyncResult = AsyncResult()
         self._inbox.put((message, args, answer))
         return answer
 
     def spawn(self, function: Callable[..., Any], *args: Any) -> None:
-        """Run I/O beside the inbox; an error there is logged and never ends the process."""
+        """Runs a function in a helper greenlet; an exception there is logged and never ends the process."""
         gevent.spawn(self._guarded, function, *args)
 
     def every(self, period_us: int, message: str) -> None:
-        """Send oneself a message again and again."""
+        """Sends this actor a message periodically."""
 
-        def beat() -> None:
+        def timer() -> None:
             while True:
                 gevent.sleep(period_us / 1e6)
                 self.tell(message)
 
-        gevent.spawn(beat)
+        gevent.spawn(timer)
 
     def failed(self, message: str, error: Exception) -> None:
-        """The handler of a message ended with this; for actors that have to do more about it than log it."""
+        """Called when the handler of a message raised an exception; for actors that must do more than log it."""
 
     def _guarded(self, function: Callable[..., Any], *args: Any) -> None:
         try:
--- a/src/tideusher/actors/call_queue.py
+++ b/src/tideusher/actors/call_queue.py
@@ -1,4 +1,4 @@
-"""What waits to be told to many destinations: one call to each at a time."""
+"""A queue of commands to many destinations, with one call to each at a time."""
 
 from collections.abc import Callable, Hashable
 from typing import Any, Generic, TypeVar
@@ -9,38 +9,38 @@
 
 
 class CallQueue(Generic[K]):
-    """Commands by destination. Those that come while a call to their destination is under way go with the next.
+    """Commands by destination. Those added while a call to their destination is in progress go with the next call.
 
-    A destination is taken when the call is decided on, not when its helper first runs; and what waits is called for
-    however a call ends, so no command is lost with the call before it.
+    A destination is marked as called when the call is decided on, not when its greenlet first runs. Queued commands
+    are sent however the call before them ends, so none is lost with it.
     """
 
     def __init__(
-        self, spawn: Callable[..., Any], call: Callable[[K, list[Command]], None], most: int | None = None
+        self, spawn: Callable[..., Any], call: Callable[[K, list[Command]], None], max_calls: int | None = None
     ) -> None:
-        """`spawn` runs a function beside the caller; `call` tells a destination; `most`: so many calls at a time."""
-        self._spawn, self._call, self._most = spawn, call, most
+        """`spawn` runs a function in the background; `call` sends commands; `max_calls`: concurrent calls allowed."""
+        self._spawn, self._call, self._max_calls = spawn, call, max_calls
         self._waiting: dict[K, list[Command]] = {}
         self._called: set[K] = set()
 
     def __len__(self) -> int:
-        """How many destinations are called or wait for it."""
+        """Returns the number of destinations that are being called or wait for a call."""
         return len(self._called | self._waiting.keys())
 
     def put(self, destination: K, commands: list[Command]) -> None:
-        """Tell these soon; a command that waits already is not told twice."""
+        """Queues commands; one that is queued already is not added twice."""
         waiting = self._waiting.setdefault(destination, [])
         waiting += [command for command in commands if command not in waiting]
 
     def begin(self) -> None:
-        """Begin calls to destinations for which something waits, as many as may be under way."""
-        for destination in [one for one in self._waiting if one not in self._called]:
-            if self._most is not None and len(self._called) >= self._most:
+        """Starts calls to destinations with queued commands, up to the maximum number of calls."""
+        for destination in [queued for queued in self._waiting if queued not in self._called]:
+            if self._max_calls is not None and len(self._called) >= self._max_calls:
                 return
             self._called.add(destination)
-            self._spawn(self._serve, destination, self._waiting.pop(destination))
+            self._spawn(self._run_call, destination, self._waiting.pop(destination))
 
-    def _serve(self, destination: K, commands: list[Command]) -> None:
+    def _run_call(self, destination: K, commands: list[Command]) -> None:
         try:
             self._call(destination, commands)
         finally:
--- a/src/tideusher/actors/cloud.py
+++ b/src/tideusher/actors/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud: rents, returns and lists, within its rate; every answer goes to the leader as a message."""
+"""The client of the cloud: rents, returns and lists machines within the rate limit, and passes on the answers."""
 
 from collections.abc import Callable
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 class Cloud(Actor):
-    """Serves calls one after the other, the most useful kind first."""
+    """Makes queued calls by priority: rentals first, then returns, then reads."""
 
     RENT, RETURN, READ = 0, 1, 2
 
@@ -27,40 +27,40 @@
         self._client = HttpClient(config.endpoints.cloud, timeout_s=5.0, keep=3)
         self._bucket = TokenBucket(config.settings.cloud.rps * 0.9, clock)
         self._queue: PriorityQueue = PriorityQueue()
-        self._count = 0
+        self._call_count = 0
 
     def start(self) -> None:
         for _ in range(3):
             gevent.spawn(self._work)
 
-    def submit(self, kind: int, call: Callable[[], Any], then: Callable[[Any], None]) -> None:
-        """Queue a call; `then` gets its result, or None when the cloud did not answer usefully."""
-        self._count += 1
-        self._queue.put((kind, self._count, call, then))
+    def submit(self, kind: int, call: Callable[[], Any], on_result: Callable[[Any], None]) -> None:
+        """Queues a call; `then` is called with its result, or None if there was no usable answer."""
+        self._call_count += 1
+        self._queue.put((kind, self._call_count, call, on_result))
 
     def _work(self) -> None:
         while True:
-            kind, _, call, then = self._queue.get()
+            kind, _, call, on_result = self._queue.get()
             pause_s = self._bucket.wait_s(1)
             if pause_s:
                 gevent.sleep(pause_s)
             self._metrics.count("cloud_requests", ("rent", "return", "read")[kind])
-            then(self._result_of(call))
+            on_result(self._result_of(call))
 
     def _result_of(self, call: Callable[[], Any]) -> Any:
-        """None: the cloud did not answer usefully. Whatever a call ends with, the next one is made."""
+        """Makes a call; None if there was no usable answer. Any exception is logged, so the worker goes on."""
         try:
             return call()
         except CallFailed as error:
-            self.log.info("no answer: %s", error)
+            self.log.info("no answer of the cloud: %s", error)
         except msgspec.DecodeError as error:
-            self.log.error("bad answer: %s", error)
+            self.log.error("bad answer of the cloud: %s", error)
         except Exception:
-            self.log.exception("a call to the cloud failed")
+            self.log.exception("call to the cloud failed")
         return None
 
     def rent(self, request: cloud.RentRequest) -> list[str] | None:
-        """Names of the rented machines; an empty list: no capacity. None: ask again, same name."""
+        """Returns the names of the rented machines, empty without capacity; None: retry under the same name."""
         status, body = self._client.call("POST", "/rentals", cloud.encode(request))
         if status == 200:
             return cloud.decode_rented(body).machines
@@ -68,26 +68,26 @@
             return []
         if status == 429:
             self._bucket.drain()
-        self.log.debug("rental %s: %d %s", request.name, status, body[:100].decode("utf-8", "replace"))
+        self.log.debug("rental %s: status %d, %s", request.name, status, body[:100].decode("utf-8", "replace"))
         return None
 
     def request_return(self, names: list[str]) -> list[str] | None:
-        """The names, once the cloud has confirmed that they are gone."""
+        """Returns the names if the cloud has confirmed that the machines are gone, otherwise None."""
         status, body = self._client.call("POST", "/rentals/return", cloud.encode(cloud.MachineNames(names)))
         if status == 200:
             return names
         if status == 429:
             self._bucket.drain()
-        self.log.debug("return: %d %s", status, body[:100].decode("utf-8", "replace"))
+        self.log.debug("return of machines: status %d, %s", status, body[:100].decode("utf-8", "replace"))
         return None
 
     def types(self) -> list[cloud.MachineType] | None:
-        """The machine types with current prices."""
+        """Returns the machine types with current prices; None if there was no usable answer."""
         status, body = self._client.call("GET", "/machine_types")
         return cloud.decode_types(body).types if status == 200 else None
 
     def machines(self) -> list[cloud.ListedMachine] | None:
-        """The whole list, page by page; None if any page failed."""
+        """Returns the complete list, read page by page; None if any page failed."""
         found: list[cloud.ListedMachine] = []
         since = ""
         while True:
--- a/src/tideusher/actors/command_sender.py
+++ b/src/tideusher/actors/command_sender.py
@@ -1,4 +1,4 @@
-"""Commands that a leader sends to its workers ahead of their next reports."""
+"""Direct calls: commands that the leader sends to its workers ahead of their next reports."""
 
 import logging
 from collections.abc import Callable
@@ -11,9 +11,9 @@
 from tideusher.core.model.records import Machine
 from tideusher.wire import workers
 
-#: The part of the process's sockets that calls to workers may take at a time.
+#: Connections to workers may use one part in this many of the process's sockets.
 SOCKET_SHARE_DIVISOR = 8
-CALL_S = 2.0
+CALL_TIMEOUT_S = 2.0
 
 
 class Destination(NamedTuple):
@@ -24,38 +24,40 @@
 
 
 class CommandSender:
-    """Calls workers, each on one connection: of one that hangs many calls would wait."""
+    """Calls workers, each on one connection at a time: otherwise many calls would wait for one that hangs."""
 
     def __init__(self, max_sockets: int, spawn: Callable[..., Any], answered: Callable[[int, bytes], None]) -> None:
-        """`answered` is given the token of a call and the report in its answer."""
+        """`answered` is called with the token of a call and the report in its answer."""
         self.log = logging.getLogger("leader")
-        self._kept = max_sockets // SOCKET_SHARE_DIVISOR
+        self._max_kept = max_sockets // SOCKET_SHARE_DIVISOR
         self._answered = answered
-        self._clients: dict[str, tuple[str, HttpClient]] = {}  # by machine, with the address
-        self._queue: CallQueue[Destination] = CallQueue(spawn, lambda to, commands: self.call(*to, commands))
+        self._clients: dict[str, tuple[str, HttpClient]] = {}  # by machine, with its address
+        self._queue: CallQueue[Destination] = CallQueue(
+            spawn, lambda destination, commands: self.call(*destination, commands)
+        )
 
     def __len__(self) -> int:
-        """How many workers are called or wait for it."""
+        """Returns the number of workers that are being called or wait for a call."""
         return len(self._queue)
 
     def send(self, machine: Machine, token: int, commands: list[workers.Command]) -> None:
-        """Tell the worker soon."""
+        """Queues commands for the worker."""
         self._queue.put(Destination(machine, token), commands)
         self._queue.begin()
 
     def forget(self, machine: str) -> None:
-        """The machine is gone: its connection is not kept."""
+        """Drops the connection to a machine that is gone."""
         self._clients.pop(machine, None)
 
     def forget_all(self) -> None:
-        """We do not lead any more: no connections are kept."""
+        """Drops all connections; for a leader that steps down."""
         self._clients.clear()
 
     def call(self, machine: Machine, token: int, commands: list[workers.Command], session: int | None = None) -> None:
-        """Send commands at once; they are repeated in the answer to the next report, so a loss is harmless.
+        """Sends commands at once; they are repeated in the answer to the next report, so a loss is harmless.
 
-        A worker that reports to another controller, such as an old leader, may be in a session that we have not heard
-        of: its refusal tells which, and it is asked once more.
+        A worker that reports to another controller, such as an old leader, may be in a session that we do not know.
+        Its refusal holds the session, and the call is repeated once with it.
         """
         session = machine.session if session is None else session
         for _ in range(2):
@@ -64,7 +66,7 @@
                 status, answer = self._client(machine).call("POST", "/do", body)
                 report = workers.decode_report(answer) if status in (200, 409) else None
             except CallFailed as error:
-                self.log.debug("%s: %s", machine.name, error)
+                self.log.debug("no answer of %s: %s", machine.name, error)
                 return
             except msgspec.DecodeError as error:
                 self.log.error("bad answer of %s: %s", machine.name, error)
@@ -79,9 +81,9 @@
     def _client(self, machine: Machine) -> HttpClient:
         address, client = self._clients.get(machine.name, ("", None))
         if client is None or address != machine.address:
-            # Connections are kept to so many workers only: the process's sockets are for those that report.
-            kept = int(machine.name in self._clients or len(self._clients) < self._kept)
-            client = HttpClient(machine.address, CALL_S, keep=kept)
+            # The number of kept connections is bounded: the process's sockets are needed for the workers' reports.
+            kept = int(machine.name in self._clients or len(self._clients) < self._max_kept)
+            client = HttpClient(machine.address, CALL_TIMEOUT_S, keep=kept)
             if kept:
                 self._clients[machine.name] = machine.address, client
         return client
--- a/src/tideusher/actors/election.py
+++ b/src/tideusher/actors/election.py
@@ -1,11 +1,11 @@
-"""One leader: a key bound to a lease. Its stamp at the election is the token of that leadership.
+"""Leader election by a key that is bound to a lease. The key's stamp at the election is the leader's fencing token.
 
-Nothing here relies on clocks for safety: every transaction of a leader guards the key's stamp, and
-workers drop what carries a lower token. The lease only decides how soon another node may try.
+Safety does not rely on clocks: every transaction of a leader guards the key's stamp, and workers drop commands with a
+lower token. The lease only decides how soon another node may stand for election.
 
-A token is held once: a controller that has let go of a leadership never leads under its token again, also where the
-key is still there. What a leader counts (rentals), keeps in memory and has under way is unique by its token only as
-long as one engine has it; a second one under the same token named other rentals alike (docs/safety.md, 1).
+A token is used for one term only: a controller that has ended a term never leads under its token again, even if the
+key still exists. The names of a leader's rentals and its requests in flight are unique by its token only if a single
+engine uses it; a second engine under the same token gave other rentals the same names (docs/safety.md, 1).
 """
 
 import random
@@ -14,7 +14,7 @@
 
 import gevent
 
-from tideusher.actors.store import Conflict, MirroredValue, NoLease, Store, Unavailable, lease_of
+from tideusher.actors.store import Conflict, LeaseExpired, MirroredValue, Store, Unavailable, lease_of
 from tideusher.clock import SECOND_US, Clock, to_us
 from tideusher.config import Config, Policy
 from tideusher.core.decide.succession import (
@@ -32,12 +32,12 @@
 from tideusher.core.model.pages import is_fenced
 from tideusher.wire import state
 
-#: What an earlier life of this controller has sent may land so long after its lease would have ended.
+#: How long after the end of its lease a request sent by a previous run of this controller may still arrive.
 PREVIOUS_RUN_GRACE_US = SECOND_US
 
 
 class Election:
-    """Runs for the leadership whenever the key is free; renews while it is ours."""
+    """Stands for election whenever the key is free; renews the lease while it is ours."""
 
     def __init__(self, config: Config, policy: Policy, store: Store, clock: Clock, rng: random.Random) -> None:
         import logging
@@ -47,81 +47,87 @@
         self._ttl_s = policy.leader__lease_s
         self._lease: int | None = None
         self._nonce = f"{rng.getrandbits(64):x}"
-        #: Our token while we lead, else None.
+        #: Our token while we lead, otherwise None.
         self.token: int | None = None
-        self._last_token = 0  # the highest that we ever led with
-        #: When we were elected last (steady time).
+        self._last_token = 0  # the highest token that we ever led with
+        #: When we were last elected (steady time).
         self.elected_us = 0
-        self._reign: Leadership | None = None  # of another
-        self._begun = False  # have we looked once who leads?
-        self._leaderless_since_us: int | None = None  # since when nobody leads
-        self._rests_until_us = 0
-        self._doubts_us: int | None = None  # since when what we know of the leadership is too old
-        self._born_us = clock.now_us()
+        self._leadership: Leadership | None = None  # the known leadership of another controller
+        self._checked_once = False  # have we checked once who leads?
+        self._leaderless_since_us: int | None = None  # steady time since when nobody leads
+        self._cooldown_until_us = 0
+        #: Time of the last pause that may have cost the lease; a read sent since then confirms who leads.
+        self._unconfirmed_since_us: int | None = None
+        self._started_us = clock.now_us()
         self._size = config.settings.size
         self._own_candidate: Callable[[], Candidate] = lambda: Candidate(config.node, config.zone, True, behind=0)
         self._peer_candidates: Callable[[], list[Candidate]] = list
-        self._elected: Callable[[int], None] = lambda token: None
+        self._on_elected: Callable[[int], None] = lambda token: None
 
     def start(self) -> None:
-        """Begin to run for the leadership."""
+        """Starts to take part in elections."""
         self._store.listen(self._on_change)
         gevent.spawn(self._run)
 
     def _on_change(self, key: str, value: Any, stamp: int) -> None:
-        """Our own key is there: we lead, also while the answer to our request is lost and still waited for."""
+        """Leads as soon as our own key is read, even if the answer to our transaction was lost."""
         if (
             key == keys.LEADER
             and value is not None
             and value.get("nonce") == self._nonce
             and not self._leadership_unconfirmed()
         ):
-            self._leads(stamp)
+            self._set_leading(stamp)
 
-    def _leads(self, token: int) -> None:
-        """Lead under a token from now on, or go on; under one that we let go of, never again."""
-        self._leaderless_since_us, self._reign = None, None
+    def _set_leading(self, token: int) -> None:
+        """Starts or continues to lead under a token; one of a term that we ended is ignored."""
+        self._leaderless_since_us, self._leadership = None, None
         if token <= self._last_token:
             return
         self.log.info("%s leads with token %d", self._node, token)
         self.elected_us, self.token, self._last_token = self._clock.now_us(), token, token
-        self._elected(token)
+        self._on_elected(token)
 
     def _handle_own_key(self, stored: MirroredValue) -> None:
-        """The key holds our name: we lead, or it is of a leadership of ours that we let go of.
+        """Handles a key with our nonce: we lead, or it is left from a term that we ended.
 
-        That one we stand anew in place of, or end it if another is to lead.
+        In the latter case we stand for election in its place, or remove the key if another controller is to lead.
         """
-        self._leads(stored.stamp)
+        self._set_leading(stored.stamp)
         if self.token is None and self.rests():
-            self._remove(stored.stamp)
+            self._remove_leader_key(stored.stamp)
         elif self.token is None:
-            self.log.info("stand anew: token %d is ours and was let go of", stored.stamp)
-            self._stand(stored.stamp, stored.value.get("early", 0))  # it is no change on evidence
+            self.log.info("stand for election again: token %d is of a term that we ended", stored.stamp)
+            # This is not a takeover on evidence, so the count of those stays.
+            self._stand_for_election(stored.stamp, stored.value.get("early", 0))
 
     def set_sources(
         self, ours: Callable[[], Candidate], others: Callable[[], list[Candidate]], elected: Callable[[int], None]
     ) -> None:
-        """Where to ask how this controller and the others stand, and whom to tell that we lead."""
-        self._own_candidate, self._peer_candidates, self._elected = ours, others, elected
+        """Sets the sources of our own and the other candidates, and the callback for our token once we lead."""
+        self._own_candidate, self._peer_candidates, self._on_elected = ours, others, elected
 
     def process_paused(self, for_us: int, now_us: int) -> None:
-        """The process did nothing for so long: if our lease may have ended, we lead only once a read says so."""
+        """Handles a pause of the process. If our lease may have expired, we lead only once a read confirms it."""
         if for_us >= to_us(self._ttl_s):
-            self._doubts_us, self.token, self._lease = now_us, None, None
+            self._unconfirmed_since_us, self.token, self._lease = now_us, None, None
 
     def _leadership_unconfirmed(self) -> bool:
         contact_us = self._store.contact_us
-        if self._doubts_us is not None and contact_us is not None and contact_us >= self._doubts_us:
-            self._doubts_us = None
-        return self._doubts_us is not None
+        if (
+            self._unconfirmed_since_us is not None
+            and contact_us is not None
+            and contact_us >= self._unconfirmed_since_us
+        ):
+            self._unconfirmed_since_us = None
+        return self._unconfirmed_since_us is not None
 
     def rests(self) -> bool:
-        """Did we give up the leadership just now?"""
-        return self._clock.now_us() < self._rests_until_us
+        """True during the cooldown after we stepped down."""
+        return self._clock.now_us() < self._cooldown_until_us
 
     def step_down_reason(self) -> str:
-        """Why we give up our leadership; empty: we do not."""
+        """Returns why we should step down; empty if we should not."""
         if self.token is None or self.rests():
             return ""
         return step_down_reason(
@@ -129,27 +135,32 @@
         )
 
     def end_term(self, leave: bool = False) -> None:
-        """End our leadership: whatever is decided next is decided under another token, or elsewhere if we `leave`."""
+        """Ends our term: the next one is under another token, or another controller's if we `leave`."""
         if leave:
-            self._rests_until_us = self._clock.now_us() + STEP_DOWN_COOLDOWN_US
+            self._cooldown_until_us = self._clock.now_us() + STEP_DOWN_COOLDOWN_US
         self.token = None
 
     def resign(self) -> None:
-        """Leave the leadership to another; whoever is next stands at once."""
-        token, self._rests_until_us = self.token, self._clock.now_us() + STEP_DOWN_COOLDOWN_US
+        """Leaves the leadership to another controller: removes our key, so the next in line can stand at once."""
+        token, self._cooldown_until_us = self.token, self._clock.now_us() + STEP_DOWN_COOLDOWN_US
         if token is not None:
-            self._remove(token)
+            self._remove_leader_key(token)
 
     def successor(self) -> str:
-        """Who stands first if the leader ends now, as far as we know; empty: nobody that we hear."""
+        """Returns the first in line if the leader ended now, as far as we know; empty if there is none."""
         leader, token = self.leader() or ("", 0)
         order = succession_order(
-            [one for one in [self._own_candidate(), *self._peer_candidates()] if one.node != leader], token
+            [
+                candidate
+                for candidate in [self._own_candidate(), *self._peer_candidates()]
+                if candidate.node != leader
+            ],
+            token,
         )
         return order[0] if order else ""
 
     def leader(self) -> tuple[str, int] | None:
-        """(node, token) of the leader as far as the mirror knows."""
+        """Returns (node, token) of the leader according to the mirror."""
         stored = self._store.mirror.get(keys.LEADER)
         return (stored.value["node"], stored.stamp) if stored else None
 
@@ -170,50 +181,50 @@
                     self._leaderless_since_us = self.token = None
                     self._handle_other_leader(stored)
                     gevent.sleep(0.1)
-            except (Unavailable, NoLease) as error:
-                self.log.info("not elected: %s", error or "the lease ran out")
+            except (Unavailable, LeaseExpired) as error:
+                self.log.info("not elected: %s", error or "the lease has expired")
                 gevent.sleep(0.2 + 0.2 * self._rng.random())
                 self._store.sync()
             except Exception:
-                self.log.exception("could not look after the leadership")
+                self.log.exception("check of the leadership failed")
                 gevent.sleep(1.0)
 
     def _handle_no_leader(self) -> None:
-        self.token, now_us, self._begun = None, self._clock.now_us(), True
+        self.token, now_us, self._checked_once = None, self._clock.now_us(), True
         if self._leaderless_since_us is None:
             self._leaderless_since_us = now_us
-        token = self._reign.token if self._reign is not None else 0
+        token = self._leadership.token if self._leadership is not None else 0
         if now_us - self._leaderless_since_us < election_delay_us(
             self._own_candidate(), self._peer_candidates(), token
         ):
-            gevent.sleep(0.05)  # whoever stands before us is let go first
+            gevent.sleep(0.05)  # candidates ahead of us in the succession order stand first
             return
-        self._stand(0, 0)
+        self._stand_for_election(0, 0)
 
     def _handle_other_leader(self, stored: MirroredValue) -> None:
         now_us = self._clock.now_us()
-        if self._reign is None or self._reign.token != stored.stamp:
-            self._reign = Leadership(stored.value["node"], stored.stamp, now_us, stored.value.get("early", 0))
-        begun, self._begun = self._begun, True
-        if self._reign.node == self._node and (
-            not begun or now_us - self._born_us < to_us(self._ttl_s) + PREVIOUS_RUN_GRACE_US
+        if self._leadership is None or self._leadership.token != stored.stamp:
+            self._leadership = Leadership(stored.value["node"], stored.stamp, now_us, stored.value.get("early", 0))
+        checked_before, self._checked_once = self._checked_once, True
+        if self._leadership.node == self._node and (
+            not checked_before or now_us - self._started_us < to_us(self._ttl_s) + PREVIOUS_RUN_GRACE_US
         ):
-            # An earlier life of this very controller: it ended, and its lease need not run out. A request of it to
-            # lead may even land after we looked first, when we are back within a fraction of a second; its lease is
-            # not renewed, so not for long. Later than that it is left alone: two that were given one name by mistake
-            # would else end each other's leadership for ever.
-            self.log.info("an earlier life of this controller leads; its leadership is ended")
-            self._remove(stored.stamp)
+            # The leader is a previous run of this controller: it ended, so its lease need not be waited for. If we
+            # restarted within a fraction of a second, its election may even succeed after our first check; its lease
+            # is not renewed, so that is limited in time. After that time the leader is left alone: two controllers
+            # given the same name by mistake would otherwise end each other's leadership for ever.
+            self.log.info("a previous run of this controller leads; its leadership is ended")
+            self._remove_leader_key(stored.stamp)
             return
-        why = takeover_reason(
-            self._reign, self._own_candidate(), self._peer_candidates(), self._size, now_us
-        ) or self._shut_out(self._reign)
-        if why:
-            self.log.info("take the leadership from %s: %s", self._reign.node, why)
-            self._stand(stored.stamp, early_after(self._reign, now_us))
-
-    def _shut_out(self, leadership: Leadership) -> str:
-        """Is the leader an older version, none of whose transactions can go through while records share pages?"""
+        reason = takeover_reason(
+            self._leadership, self._own_candidate(), self._peer_candidates(), self._size, now_us
+        ) or self._format_conflict(self._leadership)
+        if reason:
+            self.log.info("take the leadership from %s: %s", self._leadership.node, reason)
+            self._stand_for_election(stored.stamp, early_after(self._leadership, now_us))
+
+    def _format_conflict(self, leadership: Leadership) -> str:
+        """Returns why the leader cannot commit: its version cannot read shared pages. Empty if it can."""
         fence = self._store.mirror.get(keys.FENCE)
         if fence is None or not is_fenced(fence.value, fence.stamp) or not self._own_candidate().in_contact:
             return ""
@@ -223,19 +234,19 @@
             else ""
         )
 
-    def _remove(self, token: int) -> None:
-        """End a leadership, if it is still the one of this token."""
+    def _remove_leader_key(self, token: int) -> None:
+        """Removes the leader key if it still has this token as its stamp."""
         try:
             self._store.txn([state.Guard(keys.LEADER, token)], [state.Delete(keys.LEADER)], budget=False)
         except Conflict:
             self._store.sync()
-        except (Unavailable, NoLease) as error:
-            self.log.info("leadership not ended: %s", error)
+        except (Unavailable, LeaseExpired) as error:
+            self.log.info("leader key not removed: %s", error)
 
-    def _stand(self, instead_of: int, early: int) -> None:
-        """Run for the leadership: `instead_of` 0 if nobody has it, else the token of whom we take it from.
+    def _stand_for_election(self, replaced_token: int, early: int) -> None:
+        """Stands for election. `replaced_token`: the token of the leadership that we replace; 0 if there is none.
 
-        That may be a leadership of our own that we let go of. Whatever was under way under its token is refused then.
+        It may be a term of our own that we ended. Requests in flight under the replaced token are refused from then.
         """
         if self._lease is None:
             body = state.LeaseRequest(round(self._ttl_s * 1000))
@@ -246,12 +257,12 @@
         value = {"node": self._node, "nonce": self._nonce, **({"early": early} if early else {})}
         try:
             token = self._store.txn(
-                [state.Guard(keys.LEADER, instead_of)], [state.Put(keys.LEADER, value, self._lease)], budget=False
+                [state.Guard(keys.LEADER, replaced_token)], [state.Put(keys.LEADER, value, self._lease)], budget=False
             )
-            self._leads(token)
+            self._set_leading(token)
         except Conflict:
             self._store.sync()
-        except NoLease:
+        except LeaseExpired:
             self._lease = None
             raise
 
@@ -265,9 +276,9 @@
                     "POST", f"/holds/{self._lease}/extend", {}, budget=False, timeout_s=self._ttl_s / 2
                 )
                 if status == 404:
-                    self.log.info("our lease ran out")
+                    self.log.info("our lease has expired")
                     self._lease = None
             except Unavailable as error:
                 self.log.debug("lease not renewed: %s", error)
             except Exception:
-                self.log.exception("lease not renewed")
+                self.log.exception("renewal of the lease failed")
--- a/src/tideusher/actors/handler.py
+++ b/src/tideusher/actors/handler.py
@@ -1,7 +1,7 @@
-"""How one HTTP connection is served: gevent's handler, less what no one here reads.
+"""The HTTP connection handler: gevent's, without the parts that no code here uses.
 
-Reports of workers are most of what a controller does, and most of a report's cost was not its answer:
-headers parsed as those of mail, a log line formatted and thrown away, head and body in two packets.
+Reports of workers are most of a controller's requests, and most of the cost of a report was not its answer: headers
+were parsed as those of mail, a log line was formatted and discarded, and head and body left in two packets.
 """
 
 from collections.abc import Iterator
@@ -9,28 +9,28 @@
 
 from gevent.pywsgi import WSGIHandler
 
-MAX_LINE = 16 * 1024
+MAX_LINE_BYTES = 16 * 1024
 MAX_HEADERS = 100
-ONE_PACKET = 16 * 1024
+MAX_SINGLE_WRITE_BYTES = 16 * 1024
 
 
 class RequestHeaders:
-    """The header lines of one request, as gevent's handler asks for them.
+    """The header lines of one request, with the interface that gevent's handler expects.
 
-    A request of which two readers could find different ends is refused: a second length or transfer
-    coding, a folded line, a name that is no name.
+    A request whose end could be read in two ways (request smuggling) is refused: a second length or transfer coding,
+    a folded line, a malformed name.
     """
 
     def __init__(self, file: BinaryIO, *_: Any) -> None:
-        self.status = ""  # not empty: why the request is refused
+        self.status = ""  # if not empty, the reason to refuse the request
         self._values: dict[str, str] = {}
         for _number in range(MAX_HEADERS + 1):
-            line = file.readline(MAX_LINE + 1)
+            line = file.readline(MAX_LINE_BYTES + 1)
             if line in (b"\r\n", b"\n", b""):
                 return
             name, colon, value = line.decode("latin-1").partition(":")
             key = name.lower()
-            if len(line) > MAX_LINE:
+            if len(line) > MAX_LINE_BYTES:
                 self.status = "Line too long"
             elif not colon or not name or name != name.strip() or " " in name:
                 self.status = "Malformed header"
@@ -46,7 +46,7 @@
         self.status = "Too many headers"
 
     def get(self, name: str, default: str | None = None) -> str | None:
-        """The value of a header, by its name in any case."""
+        """Returns the value of a header; the name is case-insensitive."""
         return self._values.get(name.lower(), default)
 
     getheader = get
@@ -56,16 +56,16 @@
 
     @property
     def typeheader(self) -> str | None:
-        """What kind of body comes."""
+        """The content type of the body."""
         return self._values.get("content-type")
 
     def items(self) -> Iterator[tuple[str, str]]:
-        """All headers, names in lower case."""
+        """Yields all headers, names in lower case."""
         yield from self._values.items()
 
 
 class Handler(WSGIHandler):
-    """One connection. Answers leave in one packet, and nothing is formatted for a log that is off."""
+    """Serves one connection. Answers leave in one packet, and no access log is formatted."""
 
     MessageClass = RequestHeaders
 
@@ -75,10 +75,10 @@
                 yield "HTTP_" + name.replace("-", "_").upper(), value
 
     def log_request(self) -> None:
-        """Requests are not logged one by one; what is decided on them is."""
+        """Logs nothing: decisions on requests are logged where they are made."""
 
     def _write_with_headers(self, data: bytes) -> None:
-        if len(data) > ONE_PACKET:  # to copy a large body costs more than a second call
+        if len(data) > MAX_SINGLE_WRITE_BYTES:  # copying a large body costs more than a second system call
             super()._write_with_headers(data)
             return
         self.headers_sent = True
--- a/src/tideusher/actors/http.py
+++ b/src/tideusher/actors/http.py
@@ -1,7 +1,7 @@
-"""A small HTTP/1.1 client over gevent sockets: http.client on connections kept open.
+"""A small HTTP/1.1 client over gevent sockets: http.client on persistent connections.
 
-Every call has a deadline and says whether the request may have been executed: outside systems are
-allowed to act on a request long after we gave up on it.
+Every call has a timeout, and its failure states whether the request may have been executed: other systems may act on
+a request long after the call timed out.
 """
 
 import http.client
@@ -13,9 +13,9 @@
 
 
 class CallFailed(Exception):
-    """No response. The request may have been, or may still be, executed unless `unsent`.
+    """There was no response. The request may have been, or may still be, executed unless `unsent`.
 
-    `refused`: the other machine itself said that it takes no connections; it has power.
+    `refused`: the other machine itself refused the connection, so it is running.
     """
 
     def __init__(self, reason: str, unsent: bool = False, refused: bool = False) -> None:
@@ -24,7 +24,7 @@
 
 
 class HttpClient:
-    """Calls to one address. Idle connections are reused; a failed one is dropped."""
+    """Makes calls to one address. Idle connections are reused; a failed one is closed."""
 
     def __init__(self, address: str, timeout_s: float, keep: int = 4) -> None:
         self._address = split_address(address)
@@ -35,7 +35,7 @@
     def call(
         self, method: str, path: str, body: bytes | None = None, timeout_s: float | None = None
     ) -> tuple[int, bytes]:
-        """One request; returns status and body, or raises CallFailed."""
+        """Sends one request; returns status and body, or raises CallFailed."""
         limit = timeout_s or self._timeout_s
         reused = bool(self._idle)
         connection = self._idle.pop() if reused else None
@@ -64,7 +64,7 @@
         return response.status, data
 
     def _connect(self) -> http.client.HTTPConnection:
-        # A gevent socket and a numeric address: no resolver, hence no thread pool.
+        # A gevent socket and a numeric address need no resolver, hence no thread pool.
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -73,6 +73,6 @@
             sock.close()
             raise
         connection = http.client.HTTPConnection(*self._address)
-        connection.auto_open = 0  # never let http.client reconnect by itself, with a blocking socket
+        connection.auto_open = 0  # http.client must not reconnect by itself: it would use a blocking socket
         connection.sock = sock
         return connection
--- a/src/tideusher/actors/leader.py
+++ b/src/tideusher/actors/leader.py
@@ -1,4 +1,4 @@
-"""The leader: runs an engine over the state service, the cloud and the workers' reports."""
+"""The leader: connects the scheduling engine to the state service, the cloud and the workers."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,9 +11,9 @@
 from tideusher.actors.cloud import Cloud
 from tideusher.actors.command_sender import CommandSender
 from tideusher.actors.election import Election
-from tideusher.actors.halts import HaltsForOthers
+from tideusher.actors.halts import ForeignHaltSender
 from tideusher.actors.http import CallFailed, HttpClient
-from tideusher.actors.store import Conflict, NoLease, Store, Throttled, Unavailable
+from tideusher.actors.store import Conflict, LeaseExpired, Store, Throttled, Unavailable
 from tideusher.clock import Clock, to_s, to_us
 from tideusher.config import Config, Policy
 from tideusher.core.decide import reachability
@@ -40,29 +40,29 @@
 from tideusher.wire.peers import SoftState
 
 TICK_US = 150_000
-#: The cloud's list is asked for this often while it may tell of a fall that nothing else tells of.
-LIST_AGAIN_US = 1_500_000
-PROBE_S = 1.5
-#: A leader makes anew what it tells its standbys this often at most.
-SOFT_US = 500_000
-#: The phases of a takeover, in their order; each is logged and measured from the election.
+#: Interval between requests of the cloud's machine list while it may reveal a mass failure that nothing else shows.
+LIST_INTERVAL_US = 1_500_000
+PROBE_TIMEOUT_S = 1.5
+#: Minimum interval between rebuilds of the soft state that a leader sends to its standbys.
+SOFT_STATE_REFRESH_US = 500_000
+#: The phases of a takeover in their order. The duration of each is logged and measured from the election.
 PHASES = ("check read", "check records", "first decision", "first start")
-#: How often a controller that does not lead compares some of what it followed with the records.
+#: Interval at which a standby compares part of its cluster state with the records.
 AUDIT_US = 1_000_000
-#: A timer that fires so much later than it should tells that the whole process stood still, its clocks running on.
+#: A timer that fires later than this means that the whole process was paused while its clocks ran on.
 PROCESS_PAUSE_US = 2_000_000
-#: Messages whose handlers change nothing, and those that change a standby's picture. After an exception in any other
-#: the leader's picture may be half changed.
-READING = frozenset({"question", "cancelled_here", "not_loaded"})
-FOLLOWING = frozenset({"follow", "audit"})
-#: What was not answered is asked again after this time.
-ASK_AGAIN_S = 1.0
-#: How long a gateway waits for the answer to a report before it answers alone.
-REPORT_WAITS_US = 1_000_000
+#: Messages whose handlers change nothing, and those that change a standby's cluster state. An exception in any other
+#: handler may leave the leader's cluster state half changed.
+READ_ONLY_MESSAGES = frozenset({"question", "cancelled_here", "not_loaded"})
+STANDBY_MESSAGES = frozenset({"follow", "audit"})
+#: Delay before a rental or return that the cloud did not answer is repeated.
+CLOUD_RETRY_S = 1.0
+#: How long a gateway waits for the leader's answer to a report before it answers by itself.
+REPORT_TIMEOUT_US = 1_000_000
 
 
 class Leader(Actor):
-    """Owns an Engine while this node leads; forgets it when it does not."""
+    """Owns an engine while this node leads and a standby while it does not."""
 
     def __init__(
         self,
@@ -80,28 +80,30 @@
         self._metrics = metrics
         self._engine: Engine | None = None
         self._standby = Standby(config, policy, clock.wall_us, self._record_of, lambda: store.mirror)
-        self._following = False  # is a piece of following under way?
-        self._standings: Callable[[], list[Candidate]] = list
+        self._step_scheduled = False  # is a step of the standby scheduled?
+        self._peer_candidates: Callable[[], list[Candidate]] = list
         self._contacts = WorkerContacts(LocalContacts(to_us(config.settings.workers.report_s)))
-        self._told: ReceivedSoftState | None = None  # what the last leader told that no record holds
-        self._soft: SoftState | None = None  # what we tell as a leader, made anew twice a second
-        self._soft_us = 0
-        self._tokens: list[int] = []  # of the last two leaderships
-        self._terms = 0  # how many engines this process has had
-        self._last_token = 0  # of the last of them
+        self._received_soft_state: ReceivedSoftState | None = None  # the newest soft state reported by a leader
+        self._soft_state: SoftState | None = None  # what we report as leader, rebuilt twice a second
+        self._soft_state_us = 0
+        self._tokens: list[int] = []  # of the last two leaderships, ours or not
+        self._engine_count = 0  # number of engines that this process has run
+        self._last_token = 0  # token of the last engine
         self._failures, self._invariants = PassFailures(), Invariants(metrics)
-        self._phases: list[str] = []  # of our takeover, those still to come
-        #: How late our timers fire.
+        self._pending_phases: list[str] = []  # phases of our takeover that are not finished yet
+        #: Smoothed delay of this process's timers.
         self.lag = TimerLag(TICK_US)
-        self._beat_us: int | None = None
+        self._last_timer_us: int | None = None
         self._loading = False
         self._probing: set[str] = set()
-        self._listed_us = 0  # when the cloud's list was asked for
-        self._deaf_zones: Callable[[], set[str]] = set
-        self._reads: Callable[[str], bool] = lambda node: True
+        self._listing_requested_us = 0  # when the cloud's machine list was last requested
+        self._controller_only_zones: Callable[[], set[str]] = set
+        self._peer_reads_state: Callable[[str], bool] = lambda node: True
         max_sockets = config.settings.resources.max_sockets
-        self._sending = CommandSender(max_sockets, self.spawn, lambda token, body: self.tell("answered", token, body))
-        self._halts = HaltsForOthers(clock, max_sockets, self.spawn)
+        self._command_sender = CommandSender(
+            max_sockets, self.spawn, lambda token, body: self.tell("answered", token, body)
+        )
+        self._halt_sender = ForeignHaltSender(clock, max_sockets, self.spawn)
 
     def start(self) -> None:
         super().start()
@@ -115,37 +117,41 @@
     def _cluster(self) -> Cluster | None:
         return self._engine.cluster if self._engine is not None else None
 
-    def hear_deaf(self, deaf_zones: Callable[[], set[str]]) -> None:
-        """Where to ask in which zones a controller that we hear hears none of its workers."""
-        self._deaf_zones = deaf_zones
+    def set_controller_only_zones(self, zones_source: Callable[[], set[str]]) -> None:
+        """Sets the source of the zones where a connected controller has lost contact with all of its workers."""
+        self._controller_only_zones = zones_source
 
-    def set_reachability(self, reads: Callable[[str], bool]) -> None:
-        """Where to ask whether another controller is heard, and reaches the state service."""
-        self._reads = reads
+    def set_reachability(self, reads_state: Callable[[str], bool]) -> None:
+        """Sets the check whether another controller is connected and reaches the state service."""
+        self._peer_reads_state = reads_state
 
-    def hear_standings(self, candidates: Callable[[], list[Candidate]]) -> None:
-        """Where to ask which versions the other controllers are of, as far as they are heard."""
-        self._standings = candidates
+    def set_peer_candidates(self, candidates: Callable[[], list[Candidate]]) -> None:
+        """Sets the source of the connected controllers, which shows which record formats they read."""
+        self._peer_candidates = candidates
 
     def set_contacts(self, contacts: WorkerContacts) -> None:
-        """Where to ask which workers each controller hears."""
+        """Sets the table of the workers' last contact with each controller."""
         self._contacts = contacts
 
-    def hear_soft(self, soft: SoftState) -> None:
-        """A leader told what no record holds."""
-        self._told = newer(self._told, soft, self._clock.now_us())
+    def receive_soft_state(self, soft: SoftState) -> None:
+        """Keeps the newest soft state that a leader reported: what no record holds."""
+        self._received_soft_state = newer(self._received_soft_state, soft, self._clock.now_us())
 
     def soft(self) -> SoftState | None:
-        """What we tell our standbys; None: we do not lead."""
+        """Returns the soft state for our standbys; None if we do not lead."""
         engine, now_us = self._engine, self._clock.now_us()
         if engine is None:
             return None
-        if self._soft is None or self._soft.token != engine.token or now_us - self._soft_us > SOFT_US:
-            self._soft, self._soft_us = collect_soft_state(engine, now_us), now_us
-        return self._soft
+        if (
+            self._soft_state is None
+            or self._soft_state.token != engine.token
+            or now_us - self._soft_state_us > SOFT_STATE_REFRESH_US
+        ):
+            self._soft_state, self._soft_state_us = collect_soft_state(engine, now_us), now_us
+        return self._soft_state
 
     def behind(self) -> int | None:
-        """Changes that we have yet to apply to the picture that we follow; None: we follow none."""
+        """Returns the number of changes that the standby has yet to apply; None if it has no cluster state."""
         if self._engine is not None:
             return 0
         return self._standby.behind if self._standby.cluster_state is not None else None
@@ -159,22 +165,22 @@
         elif key.startswith(keys.JOB_PREFIX):
             self.tell("job", key[len(keys.JOB_PREFIX) :], value, stamp)
 
-    # ---------------------------------------------------------------- following
+    # ---------------------------------------------------------------- standby
 
     def _follow(self) -> None:
-        if not self._following:
-            self._following = True
+        if not self._step_scheduled:
+            self._step_scheduled = True
             self.tell("follow")
 
     def on_follow(self) -> None:
-        """One piece of what changed; the next comes when the loop has looked at what else there is to do."""
-        self._following = False
+        """Applies one step of the pending changes; the next is scheduled behind what else waits in the event loop."""
+        self._step_scheduled = False
         if self._standby.apply_step(self._clock.now_us()):
-            self._following = True
+            self._step_scheduled = True
             gevent.spawn_later(0, self.tell, "follow")
 
     def on_audit(self) -> None:
-        """Is what was followed still what the records say? A few of them each time."""
+        """Compares a few records with the standby's cluster state, and rebuilds it if they differ."""
         if self._engine is not None or not self._store.loaded.is_set():
             return
         if self._standby.cluster_state is None:
@@ -192,7 +198,7 @@
     # ---------------------------------------------------------------- leadership
 
     def on_tick(self) -> None:
-        """Follow the election; run a scheduling pass when something changed."""
+        """Follows the election; runs a scheduling pass if something changed."""
         token = self._election.token
         engine = self._engine
         if engine is not None and engine.token != token:
@@ -206,30 +212,35 @@
             return
         now_us = self._clock.now_us()
         self._share_records(engine.cluster)
-        self._look_after(engine, now_us)
-        self._after_piece(engine, engine.tick(now_us))
+        self._check_machines(engine, now_us)
+        self._after_pass_step(engine, engine.tick(now_us))
 
     def _step_down(self, engine: Engine) -> None:
-        """Forget what was decided and not written, and follow the records again."""
-        self.log.info("stepped down from token %d, engine %d", engine.token, self._terms)
+        """Drops decisions that were not written, and becomes a standby that follows the records."""
+        self.log.info("stepped down: token %d, engine %d", engine.token, self._engine_count)
         self._engine = None
-        self._sending.forget_all()
+        self._command_sender.forget_all()
         self._standby.begin(self._clock.now_us())
         self._follow()
         self._store.lead(False)
 
     def failed(self, message: str, error: Exception) -> None:
-        """Nobody decides on a picture that may be half changed, or follows with it."""
-        if message in FOLLOWING and self._engine is None:
+        """Discards a cluster state that a failed handler may have left half changed.
+
+        A standby rebuilds its own. A leader ends its term, so nothing more is decided on it.
+        """
+        if message in STANDBY_MESSAGES and self._engine is None:
             self._metrics.count("standby_rebuilds")
             self._standby.invalidate()
             return
-        if message in READING or self._election.token is None:
+        if message in READ_ONLY_MESSAGES or self._election.token is None:
             return
         remedy = self._failures.failed(error, self._clock.now_us())
         kind = type(error.__cause__ or error).__name__
         self._metrics.count("pass_failures", kind)
-        self.log.error("%s ended with %s (%s): %s", message, kind, error, remedy.name.lower().replace("_", " "))
+        self.log.error(
+            "%s ended with %s (%s); remedy: %s", message, kind, error, remedy.name.lower().replace("_", " ")
+        )
         self._loading = False
         if self._engine is not None:
             self._step_down(self._engine)
@@ -238,28 +249,33 @@
         self._election.end_term(leave=remedy is Remedy.STEP_DOWN)
 
     def _share_records(self, cluster: Cluster) -> None:
-        """Small jobs' records share pages once all controllers read them."""
+        """Lets the records of small jobs share pages once all controllers can read them."""
         shared = cluster.pages.open or cluster.pages.fenced
-        wanted = self._policy.records__shared and all_read_pages(len(self._config.peers), self._standings(), shared)
-        cluster.share_records(wanted)
+        share = self._policy.records__shared and all_read_pages(
+            len(self._config.peers), self._peer_candidates(), shared
+        )
+        cluster.share_records(share)
 
     def _value_of(self, key: str) -> Any:
         stored = self._store.mirror.get(key)
         return stored.value if stored is not None else None
 
     def on_timer_tick(self) -> None:
-        """A tick by the timer: how late it comes tells how slow we are."""
+        """Runs a tick by the timer, and measures how late the timer fired."""
         now_us = self._clock.now_us()
-        late_us, self._beat_us = now_us - (self._beat_us or now_us) - TICK_US, now_us
-        if late_us > PROCESS_PAUSE_US:
-            self._stood_still(late_us, now_us)
+        delay_us, self._last_timer_us = now_us - (self._last_timer_us or now_us) - TICK_US, now_us
+        if delay_us > PROCESS_PAUSE_US:
+            self._handle_pause(delay_us, now_us)
         self.lag.fired(now_us)
-        self._give_way(self._engine)
+        self._resign_if_slow(self._engine)
         self.on_tick()
 
-    def _stood_still(self, for_us: int, now_us: int) -> None:
-        """Nothing believed of the time before counts: no silence, and no leadership until a read shows it."""
-        self.log.info("stood still for %.1f s: silence counts from now", to_s(for_us))
+    def _handle_pause(self, for_us: int, now_us: int) -> None:
+        """Handles a pause of the whole process.
+
+        Workers were not silent in that time as far as we can tell, and we lead only once a read confirms it.
+        """
+        self.log.info("process paused for %.1f s: silence of workers counts from now", to_s(for_us))
         self._metrics.count("stood_still")
         self._contacts.own.process_paused(for_us, now_us)
         cluster_state = (
@@ -269,74 +285,77 @@
             cluster_state.zones.process_paused(now_us)
         self._election.process_paused(for_us, now_us)
 
-    def _give_way(self, engine: Engine | None) -> None:
+    def _resign_if_slow(self, engine: Engine | None) -> None:
         if engine is not None and self._election.token == engine.token:
             why = self._election.step_down_reason()
             if why:
-                self.log.info("give up the leadership: %s", why)
+                self.log.info("resign from the leadership: %s", why)
                 self._metrics.count("leaderships_given_up")
                 self.spawn(self._election.resign)
 
     def on_continue_pass(self, engine: Engine) -> None:
-        """One piece of a pass. The next comes when the loop has looked at what else there is to do.
+        """Runs one step of a scheduling pass; the next is scheduled behind what else waits in the event loop.
 
-        Of a whole pass a leader of 570 machines once did nothing else for 0.1 s.
+        A pass in one step blocked a leader of 570 machines for 0.1 s.
         """
-        if engine is self._engine:  # else we stepped down in between
-            self._after_piece(engine, engine.continue_pass())
+        if engine is self._engine:  # otherwise we stepped down meanwhile
+            self._after_pass_step(engine, engine.continue_pass())
 
-    def _after_piece(self, engine: Engine, more: bool) -> None:
+    def _after_pass_step(self, engine: Engine, more: bool) -> None:
         if more:
             gevent.spawn_later(0, self.tell, "continue_pass", engine)
         else:
-            self._phase("first decision")
+            self._finish_phase("first decision")
         self._act(engine)
 
-    def _phase(self, name: str) -> None:
-        """A phase of our takeover is over, if it is the next one."""
-        if self._phases and self._phases[0] == name:
-            del self._phases[0]
+    def _finish_phase(self, name: str) -> None:
+        """Records the end of a phase of our takeover, if it is the next one expected."""
+        if self._pending_phases and self._pending_phases[0] == name:
+            del self._pending_phases[0]
             since_s = to_s(self._clock.now_us() - self._election.elected_us)
             self._metrics.observe_takeover_phase(name.replace(" ", "_"), since_s)
-            self.log.info("%s %.2f s after the election", name, since_s)
+            self.log.info("takeover: %s finished %.2f s after the election", name, since_s)
+
+    def _check_machines(self, engine: Engine, now_us: int) -> None:
+        """Handles machines that the cloud has reclaimed or that are silent.
 
-    def _look_after(self, engine: Engine, now_us: int) -> None:
-        """Machines taken back or silent. Done at ticks: after each report of a fleet it cost most of a core."""
+        Runs once a tick: after each report of a large fleet it took most of a core.
+        """
         cluster = engine.cluster
         for machine in cluster.health.taken(now_us):
-            cluster.request_return(machine, "the cloud has taken it back")
-        workers_ = self._config.settings.workers
-        lease_us, report_us = to_us(workers_.lease_s), to_us(workers_.report_s)
+            cluster.request_return(machine, "the cloud has reclaimed it")
+        worker_settings = self._config.settings.workers
+        lease_us, report_us = to_us(worker_settings.lease_s), to_us(worker_settings.report_s)
         machines = list(cluster.machines.values())
 
-        def heard_us(machine: Machine) -> int:
-            seen = self._contacts.last(machine.name, now_us)
-            return seen[0] if seen is not None else 0
+        def last_contact_us(machine: Machine) -> int:
+            contact = self._contacts.last(machine.name, now_us)
+            return contact[0] if contact is not None else 0
 
         for machine, why in reachability.machines_out_of_contact(
-            machines, lease_us, report_us, now_us, cluster.health.boot_us, heard_us
+            machines, lease_us, report_us, now_us, cluster.health.boot_us, last_contact_us
         ):
             cluster.request_return(machine, why)
         for machine in machines:
-            if machine.tasks and reachability.stopped_reporting(machine, report_us, heard_us, now_us):
+            if machine.tasks and reachability.stopped_reporting(machine, report_us, last_contact_us, now_us):
                 engine.reports.release_unstarted(machine, "its machine does not report", now_us)
-        cluster.mass_failures.controller_only_zones = self._deaf_zones()
-        look = cluster.review_silent_machines(now_us, self._probing)
-        for probe in look.probes:
+        cluster.mass_failures.controller_only_zones = self._controller_only_zones()
+        review = cluster.review_silent_machines(now_us, self._probing)
+        for probe in review.probes:
             self._probing.add(probe.machine.name)
             self.spawn(self._probe, cluster.token, probe.machine)
-        if look.list_due and now_us - self._listed_us > LIST_AGAIN_US:
-            self._ask_list(cluster.token)
+        if review.list_due and now_us - self._listing_requested_us > LIST_INTERVAL_US:
+            self._request_listing(cluster.token)
 
     def _take_over(self, token: int) -> None:
-        """Load only after a read that is newer than our election: nothing older leaders wrote is missed.
+        """Starts the takeover after a read newer than our election, so nothing that older leaders wrote is missed.
 
-        What they had under way then can never apply any more: each of their writes is guarded by their token.
+        Writes that they still have in flight can no longer apply: each is guarded by their token.
         """
         try:
             if self._store.sync() and self._election.token == token:
-                self._phases = list(PHASES)
-                self._phase("check read")
+                self._pending_phases = list(PHASES)
+                self._finish_phase("check read")
                 self.tell("take_over", token)
             else:
                 self.tell("not_loaded")
@@ -345,26 +364,28 @@
             raise
 
     def on_not_loaded(self) -> None:
-        """The read before taking over failed; the next tick tries again."""
+        """Handles a failed read before a takeover; the next tick tries again."""
         self._loading = False
 
     def on_take_over(self, token: int) -> None:
-        """Apply what is left, in pieces, and lead on the picture that was followed."""
+        """Applies the pending changes in steps, then leads with the standby's cluster state."""
         now_us = self._clock.now_us()
         if self._election.token != token:
             self._loading = False
             return
-        caught = self._standby.catch_up(now_us)
-        if caught is None:
+        caught_up = self._standby.catch_up(now_us)
+        if caught_up is None:
             gevent.spawn_later(0, self.tell, "take_over", token)
             return
         self._loading = False
         if token <= self._last_token:
-            # The election sees to that (`Election._leads`); whatever else might lead here again does not.
-            self._invariants.violated(Rule.ONE_TERM, f"token {token} again, after engine {self._terms} led with it")
+            # `Election._set_leading` prevents this; the check guards against any other path to a second term.
+            self._invariants.violated(
+                Rule.ONE_TERM, f"token {token} again, after engine {self._engine_count} led with it"
+            )
             self._election.end_term()
             return
-        self._terms, self._last_token = self._terms + 1, token
+        self._engine_count, self._last_token = self._engine_count + 1, token
         self._engine = Engine(
             self._config,
             self._policy,
@@ -373,31 +394,35 @@
             self._clock.wall_us,
             self._metrics,
             self._record_of,
-            cluster_state=caught.cluster_state,
+            cluster_state=caught_up.cluster_state,
             value_of=self._value_of,
         )
-        self._phase("check records")
+        self._finish_phase("check records")
         apply_contacts(self._engine, self._contacts, now_us)
-        self._use_soft(self._engine, token, now_us)
+        self._restore_soft_state(self._engine, token, now_us)
         cluster = self._engine.cluster
         cluster.failures = self._failures
         self._metrics.count("leaderships")
         self.log.info(
-            "took over with token %d, engine %d: %d jobs, %d machines, %d records late; %s",
-            token, self._terms, len(cluster.jobs), len(cluster.machines), caught.late,
+            "took over with token %d, engine %d: %d jobs, %d machines, %d records applied late; %s",
+            token, self._engine_count, len(cluster.jobs), len(cluster.machines), caught_up.late,
             self._store.describe_last_read(),
         )  # fmt: skip
         self.on_survey()
         self.on_tick()
 
-    def _use_soft(self, engine: Engine, token: int, now_us: int) -> None:
-        before = [other for other in self._tokens if other != token]
-        why = reason_unusable(self._told, before[-1] if before else None, now_us)
+    def _restore_soft_state(self, engine: Engine, token: int, now_us: int) -> None:
+        earlier_tokens = [other for other in self._tokens if other != token]
+        why = reason_unusable(self._received_soft_state, earlier_tokens[-1] if earlier_tokens else None, now_us)
         if why:
-            self.log.info("check soft facts: not used, as %s", why)
-        elif self._told is not None:
-            used = restore_soft_state(engine, self._told, now_us)
-            self.log.info("check soft facts: %d used, %.1f s old", used, to_s(now_us - self._told.at_us))
+            self.log.info("takeover: soft state not used: %s", why)
+        elif self._received_soft_state is not None:
+            used = restore_soft_state(engine, self._received_soft_state, now_us)
+            self.log.info(
+                "takeover: %d entries of soft state used, %.1f s old",
+                used,
+                to_s(now_us - self._received_soft_state.at_us),
+            )
         self._metrics.count("soft_facts", "refused" if why else "used")
 
     def _record_of(self, job_id: str) -> dict[str, Any] | None:
@@ -407,50 +432,54 @@
     # ---------------------------------------------------------------- inputs
 
     def on_job(self, job_id: str, value: dict | None, stamp: int) -> None:
-        """A job's own key changed."""
+        """Applies a change of a job's own record."""
         if self._engine is not None:
             self._engine.cluster.job_changed(job_id, value, stamp, self._clock.now_us())
             self._act(self._engine)
 
     def on_cancelled_elsewhere(self, job_id: str) -> None:
-        """Another controller tells that a job is cancelled, which we may not be able to read."""
+        """Applies a cancellation reported by another controller, which we may not be able to read ourselves."""
         if self._engine is not None:
             self._engine.cluster.cancelled_by_peer(job_id, self._clock.now_us())
             self._act(self._engine)
 
     def on_cancelled_here(self, job_id: str) -> None:
-        """We told a user that a job is cancelled. If its leader cannot hear of that now, its workers do from us."""
-        known, cluster_state = self._election.leader(), self._standby.cluster_state
-        if self._engine is not None or cluster_state is None or known is None or self._reads(known[0]):
+        """Stops the tasks of a job that a user cancelled here, if the leader cannot learn of the cancellation now."""
+        leader, cluster_state = self._election.leader(), self._standby.cluster_state
+        if self._engine is not None or cluster_state is None or leader is None or self._peer_reads_state(leader[0]):
             return
         job = cluster_state.jobs.get(job_id)
         if job is not None:
-            self._halts.halt(job, known[1], self._address_of)
+            self._halt_sender.halt(job, leader[1], self._address_of)
 
     def _address_of(self, machine: str) -> str:
-        """Where some controller last heard the machine; empty: none did."""
-        seen = self._contacts.last(machine, self._clock.now_us())
-        return seen[1] if seen is not None else ""
+        """Returns the address at which any controller last had contact with the machine; empty if none had."""
+        contact = self._contacts.last(machine, self._clock.now_us())
+        return contact[1] if contact is not None else ""
 
     def answer_reports(self, reports: list[workers.Report]) -> AsyncResult:
-        """Ask for the commands to reports that came together, while their gateway waits."""
+        """Requests the commands for reports that arrived together, while their gateway waits."""
         return self.ask("reports", reports, self._clock.now_us())
 
     def on_reports(self, reports: list[workers.Report], asked_us: int) -> list[workers.Commands | None]:
-        """What the reports change is written and acted on once. None: we are not entitled to answer, or the
-        gateway has answered alone meanwhile; to read those too would keep a late leader late.
+        """Answers reports, and writes and acts on what they change once for all of them.
+
+        None for a report that we may not answer, or that its gateway has answered by itself meanwhile: processing
+        those too would keep a late leader late.
         """
         engine, now_us = self._engine, self._clock.now_us()
         if (
             engine is None
-            or now_us - asked_us > REPORT_WAITS_US
+            or now_us - asked_us > REPORT_TIMEOUT_US
             or engine.token != self._election.token
             or not may_answer(self._config, self._store.contact_us, now_us)
         ):
             return [None] * len(reports)
         answers = [self._commands_for(engine, report, now_us) for report in reports]
-        if self._phases and any(c.op == "run" for answer in answers if answer is not None for c in answer.commands):
-            self._phase("first start")
+        if self._pending_phases and any(
+            c.op == "run" for answer in answers if answer is not None for c in answer.commands
+        ):
+            self._finish_phase("first start")
         self._act(engine)
         return answers
 
@@ -463,44 +492,46 @@
         return workers.Commands(engine.token, commands) if commands is not None else None
 
     def on_gather(self) -> None:
-        """Charges of the last interval reach the ledger."""
+        """Adds the charges of the last interval to the ledger."""
         if self._cluster is not None:
             self._cluster.gather(self._clock.now_us())
 
     def on_survey(self) -> None:
-        """Read types and the machine list; look after silent and overdue machines."""
+        """Requests machine types and the machine list, and returns machines that are overdue to boot."""
         cluster = self._cluster
         if cluster is None:
             return
         token = cluster.token
         self._cloud.submit(Cloud.READ, self._cloud.types, lambda r: self.tell("types", token, r))
-        self._ask_list(token)
+        self._request_listing(token)
         now_us = self._clock.now_us()
         for machine in cluster.health.overdue(now_us):
-            cluster.request_return(machine, "it did not come up while others of its kind did, or in all patience")
+            cluster.request_return(
+                machine, "it did not boot while others of its kind did, or within the maximum boot time"
+            )
 
-    def _ask_list(self, token: int) -> None:
-        self._listed_us = self._clock.now_us()
+    def _request_listing(self, token: int) -> None:
+        self._listing_requested_us = self._clock.now_us()
         self._cloud.submit(Cloud.READ, self._cloud.machines, lambda r: self.tell("listed", token, r))
 
     def on_types(self, token: int, types: list[cloud_wire.MachineType] | None) -> None:
-        """Machine types and prices."""
+        """Applies machine types and prices."""
         if self._cluster is not None and self._cluster.token == token and types:
             self._cluster.set_types(types)
 
     def on_listed(self, token: int, listing: list[cloud_wire.ListedMachine] | None) -> None:
-        """The cloud's list of machines."""
+        """Applies the cloud's list of machines."""
         engine = self._engine
         if engine is not None and engine.token == token and listing is not None:
             engine.cluster.listed(listing, self._clock.now_us())
             self._act(engine)
 
     def oldest_waits(self) -> dict[tuple[str, str], float]:
-        """For how long the oldest job that waits does so, by class and by team; empty if we do not lead."""
+        """Returns the wait in seconds of the oldest waiting job by class and by team; empty if we do not lead."""
         return explain.oldest_waits(self._cluster) if self._cluster is not None else {}
 
     def on_question(self, what: str, arg: str) -> Any:
-        """A question of an operator or a user; None if we cannot answer it."""
+        """Answers a query of an operator or a user; None if we cannot."""
         cluster, now_us = self._cluster, self._clock.now_us()
         if cluster is None:
             return None
@@ -517,9 +548,9 @@
     # ---------------------------------------------------------------- acting
 
     def _act(self, engine: Engine) -> None:
-        """Write what changed, and carry out what may be done. Rentals and returns get here only when persisted."""
-        # A leader that has read that another leads writes nothing more: to compare what it believes with what that
-        # one wrote would show breaches that are none.
+        """Writes what changed and carries out the engine's orders; rentals and returns in them are persisted."""
+        # A leader that has read that another one leads writes nothing more: comparing its own state with what its
+        # successor wrote would report invariant violations that are none.
         batch = engine.batch() if self._store.stamp_of(keys.LEADER) == engine.token else None
         if batch is not None:
             self.spawn(self._commit, engine, batch)
@@ -527,13 +558,13 @@
         for rental in orders.rent:
             self._rent(token, rental)
         for first in range(0, len(orders.request_return), cloud_wire.MAX_MACHINES_PER_RETURN):
-            self._give_back(token, orders.request_return[first : first + cloud_wire.MAX_MACHINES_PER_RETURN])
+            self._return_machines(token, orders.request_return[first : first + cloud_wire.MAX_MACHINES_PER_RETURN])
         for machine, commands in orders.direct.items():
-            # One that has yet to report to us has an address if another controller hears it, or the cloud lists it.
+            # A machine that has not reported to us has an address if another controller or the cloud's list gave one.
             if machine.address and machine.phase != RETURNING:
-                self._sending.send(machine, token, commands)
+                self._command_sender.send(machine, token, commands)
 
-    def _give_back(self, token: int, machines: list[Machine]) -> None:
+    def _return_machines(self, token: int, machines: list[Machine]) -> None:
         names = [machine.name for machine in machines]
         self._cloud.submit(
             Cloud.RETURN,
@@ -548,7 +579,7 @@
         )
 
     def on_rented(self, token: int, rental: Rental, names: list[str] | None) -> None:
-        """A rental was answered, refused, or must be asked again under the same name."""
+        """Applies the answer to a rental; one that the cloud did not answer is repeated under the same name."""
         engine = self._engine
         if engine is None or engine.token != token:
             return
@@ -560,37 +591,37 @@
         elif names is not None:
             renting.refused(rental, now_us)
         if not rental.answered and not rental.given_up:
-            gevent.spawn_later(ASK_AGAIN_S, self.tell, "rent_again", token, rental)
+            gevent.spawn_later(CLOUD_RETRY_S, self.tell, "rent_again", token, rental)
         self._act(engine)
 
     def on_rent_again(self, token: int, rental: Rental) -> None:
-        """Repeat a rental whose answer never came: under its name it cannot rent twice."""
+        """Repeats a rental that was not answered; its name makes the request idempotent."""
         if self._cluster is not None and self._cluster.token == token:
             self._rent(token, rental)
 
     def on_returned(self, token: int, machines: list[Machine], names: list[str] | None) -> None:
-        """A return was confirmed, or must be asked again."""
+        """Applies a confirmed return; one that was not confirmed is repeated."""
         engine = self._engine
         if engine is None or engine.token != token:
             return
         cluster = engine.cluster
         cluster.returned(names or [], self._clock.now_us())
-        left = [machine for machine in machines if cluster.machines.get(machine.name) is machine]
-        if left:
-            gevent.spawn_later(ASK_AGAIN_S, self.tell, "return_again", token, left)
+        unconfirmed = [machine for machine in machines if cluster.machines.get(machine.name) is machine]
+        if unconfirmed:
+            gevent.spawn_later(CLOUD_RETRY_S, self.tell, "return_again", token, unconfirmed)
         for name in names or ():
-            self._sending.forget(name)
+            self._command_sender.forget(name)
         self._act(engine)
 
     def on_return_again(self, token: int, machines: list[Machine]) -> None:
-        """The cloud did not confirm a return."""
+        """Queues a return again that the cloud did not confirm."""
         if self._cluster is not None and self._cluster.token == token:
             self._cluster.to_return += [m for m in machines if m.phase == RETURNING]
 
-    # ---------------------------------------------------------------- workers, directly
+    # ---------------------------------------------------------------- direct calls to workers
 
     def on_answered(self, token: int, body: bytes) -> None:
-        """The report in the answer to direct commands is as good as one that the worker sent."""
+        """Applies the report in the answer to a direct call, like one that the worker sent itself."""
         engine = self._engine
         if engine is None or engine.token != token:
             return
@@ -605,27 +636,29 @@
         self._act(engine)
 
     def _probe(self, token: int, machine: Machine) -> None:
-        """Call a machine directly, on a connection of its own: whether one can be made tells death from a hang."""
+        """Calls a machine on a new connection: whether it can be opened tells a dead machine from a hung one."""
         called_us = self._clock.now_us()
         try:
-            if not machine.address:  # nobody has told us of it since our election
-                gevent.sleep(PROBE_S)
+            if not machine.address:  # no controller has reported one since our election
+                gevent.sleep(PROBE_TIMEOUT_S)
                 self.tell("unanswered", token, machine, False, called_us)
                 return
             try:
-                status, body = HttpClient(machine.address, PROBE_S, keep=0).call("GET", "/show")
+                status, body = HttpClient(machine.address, PROBE_TIMEOUT_S, keep=0).call("GET", "/show")
             except CallFailed as error:
                 self.tell("unanswered", token, machine, error.refused or not error.unsent, called_us)
                 return
             self.tell("found", token, machine)
             if status == 200:
-                self._answered_call(machine, token, body)
+                self._handle_probe_answer(machine, token, body)
         finally:
             self._probing.discard(machine.name)
 
-    def _answered_call(self, machine: Machine, token: int, body: bytes) -> None:
-        """One that answers calls and does not report learns our token by a call: only then is what it lists no more
-        proven gone of what an older leader placed there."""
+    def _handle_probe_answer(self, machine: Machine, token: int, body: bytes) -> None:
+        """Sends our token to a worker that answers calls and does not report.
+
+        Only then does a task that it no longer lists prove that what an older leader placed there is gone.
+        """
         try:
             report = workers.decode_report(body)
         except msgspec.DecodeError as error:
@@ -633,23 +666,23 @@
             return
         self.tell("answered", token, body)
         if report.token < token:
-            self._sending.call(machine, token, [], report.session)
+            self._command_sender.call(machine, token, [], report.session)
 
     def on_found(self, token: int, machine: Machine) -> None:
-        """A call reached a machine."""
+        """Records that a probe reached a machine."""
         if self._cluster is not None and self._cluster.token == token:
             self._cluster.mass_failures.answered(machine, self._clock.now_us())
 
     def on_unanswered(self, token: int, machine: Machine, taken: bool, called_us: int) -> None:
-        """A call reached nobody, or somebody who did not answer. What that means the next look says."""
+        """Records a probe without an answer; `taken`: a connection was made. The next review decides what follows."""
         cluster, now_us = self._cluster, self._clock.now_us()
         if cluster is not None and cluster.token == token and cluster.health.is_suspect(machine, now_us):
             cluster.mass_failures.unanswered(machine, taken, called_us, now_us)
 
-    # ---------------------------------------------------------------- persisting
+    # ---------------------------------------------------------------- persistence
 
     def _commit(self, engine: Engine, batch: Batch) -> None:
-        """One transaction. Nothing else is written while it is under way, so however it ends the actor is told."""
+        """Commits a transaction. Nothing else is written meanwhile, so the actor is notified however it ends."""
         try:
             self._try_to_commit(engine, batch)
         except Exception as error:
@@ -657,20 +690,20 @@
             raise
 
     def on_commit_failed(self, engine: Engine, error: Exception) -> None:
-        """Nobody knows what became of the transaction under way."""
+        """Ends the term after an unexpected error: the outcome of the transaction is unknown."""
         if engine is self._engine:
             raise error
 
     def _try_to_commit(self, engine: Engine, batch: Batch) -> None:
-        """Tell the actor how it went after the mirror is newer than the transaction."""
+        """Commits, and notifies the actor once the mirror is newer than the transaction."""
         try:
             revision = self._store.txn(batch.guards, batch.writes)
         except Conflict as conflict:
-            self.log.info("transaction refused: %s changed", ", ".join(conflict.failed))
+            self.log.info("transaction refused: guards failed on %s", ", ".join(conflict.failed))
             synced = self._store.sync()
             lost = keys.LEADER in conflict.failed
             self.tell("batch_failed", engine, synced, lost, False)
-        except (Unavailable, NoLease) as error:
+        except (Unavailable, LeaseExpired) as error:
             self.log.info("transaction not confirmed: %s", error)
             self.tell("unwritable", engine)
             gevent.sleep(0.3)
@@ -679,30 +712,30 @@
             self.tell("batch_committed", engine, revision)
 
     def on_batch_committed(self, engine: Engine, revision: int) -> None:
-        """A batch is through: its effects may be told."""
+        """Handles a committed batch: its effects may become visible."""
         if engine is self._engine:
             engine.batch_committed(revision, self._clock.now_us())
             self._act(engine)
 
     def on_unwritable(self, engine: Engine) -> None:
-        """The state service did not take a write."""
+        """Records that the state service did not accept a write."""
         engine.mark_unwritable()
 
     def on_batch_failed(self, engine: Engine, synced: bool, lost: bool, unknown: bool) -> None:
-        """A batch failed: read first, then write again what still holds. `unknown`: it may yet be carried out."""
+        """Reads after a failed batch, then writes again what still holds. `unknown`: it may still be applied."""
         if engine is not self._engine or lost:
             return
         if not synced:
-            self.spawn(self._sync_again, engine, unknown)
+            self.spawn(self._retry_sync, engine, unknown)
             return
         engine.batch_failed(self._store.stamp_of, unknown)
         self._act(engine)
 
-    def _sync_again(self, engine: Engine, unknown: bool) -> None:
+    def _retry_sync(self, engine: Engine, unknown: bool) -> None:
         gevent.sleep(0.5)
-        self.tell("batch_failed", engine, self._store.sync(), False, unknown)  # `sync` says False whatever it met
+        self.tell("batch_failed", engine, self._store.sync(), False, unknown)  # `sync` returns False on any failure
 
 
 def _zone_of(cluster_state: ClusterState, machine: str) -> str | None:
-    known = cluster_state.machines.get(machine)
-    return known.zone if known is not None else None
+    found = cluster_state.machines.get(machine)
+    return found.zone if found is not None else None
--- a/src/tideusher/actors/peers.py
+++ b/src/tideusher/actors/peers.py
@@ -1,7 +1,7 @@
 """Links between controllers: netstrings of JSON over TCP, with heartbeats.
 
-Each node opens one link to every other node and asks its questions on it; answers come back on the
-same link. A link that is silent says nothing about the other node's life, only that we cannot use it.
+Each node opens one link to every other node and sends its requests on it; answers come back on the same link. A
+silent link does not show that the other node is dead, only that the link cannot be used.
 """
 
 import itertools
@@ -19,26 +19,26 @@
 from tideusher.wire import peers as wire
 
 HEARTBEAT_S = 0.5
-SILENCE_US = to_us(1.8)
-REQUEST_S = 1.0
-#: A link that ended is made anew after this time.
-RECONNECT_S = 0.3
+MAX_SILENCE_US = to_us(1.8)
+REQUEST_TIMEOUT_S = 1.0
+#: Delay before a closed link is opened again.
+RECONNECT_DELAY_S = 0.3
 
-#: What may wait to be sent on one connection. A report that finds more waiting is answered by its
-#: gateway alone, at once: behind a cut it would be too late anyway.
-MAX_WAITING = 512 * 1024
+#: Bytes that may wait to be sent on one connection. A report that does not fit is answered at once by its gateway
+#: alone: behind a network partition it would be too late anyway.
+MAX_QUEUED_BYTES = 512 * 1024
 
-#: What is said in answer to a heartbeat: the message, and up to which line it tells of workers.
-Answering = Callable[[wire.Hello, int], tuple[wire.Hello, int]]
+#: Answers a heartbeat: returns the message, and the line up to which it reports worker contacts.
+HeartbeatAnswer = Callable[[wire.Hello, int], tuple[wire.Hello, int]]
 Handler = Callable[[wire.Message], wire.Message | None]
 ReportsHandler = Callable[[list[wire.ForwardReport]], list[wire.ReportAnswer]]
 
 
 class Outbox:
-    """What is to be sent on one connection, written by one greenlet.
+    """The send queue of one connection, written by a single greenlet.
 
-    Frames that come while the loop serves other things leave together; and no two writers can put their
-    frames into one another when the connection takes only part of one.
+    Frames that arrive while the event loop is busy leave together, and frames of several writers cannot interleave
+    when the connection accepts only part of one.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -46,11 +46,11 @@
         self._frames: list[bytes] = []
         self._waiting = 0
         self._writing = False
-        self.line = 0  # up to which the other side was told of our workers
+        self.line = 0  # up to which our worker contacts were reported to the other side
 
     def put(self, frame: bytes) -> bool:
-        """Send a frame soon; False, at once, if too much waits already."""
-        if self._waiting + len(frame) > MAX_WAITING:
+        """Queues a frame; False if too much waits already."""
+        if self._waiting + len(frame) > MAX_QUEUED_BYTES:
             return False
         self._frames.append(frame)
         self._waiting += len(frame)
@@ -67,7 +67,7 @@
                 self._sock.sendall(data)
                 self._waiting -= len(data)
         except OSError:
-            pass  # whoever reads from this connection finds it closed
+            pass  # the reader of this connection finds it closed
         finally:
             self._writing = False
 
@@ -80,78 +80,78 @@
         peer: Peer,
         hello: Callable[[], wire.Hello],
         clock: Clock,
-        told: Callable[[str, wire.Hello | None], None] = lambda name, message: None,
+        on_heartbeat: Callable[[str, wire.Hello | None], None] = lambda name, message: None,
     ) -> None:
         self.peer = peer
         self.log = logging.getLogger("peers")
-        self._hello, self._clock, self._tell = hello, clock, told
+        self._hello, self._clock, self._tell = hello, clock, on_heartbeat
         self._outbox: Outbox | None = None
-        self._was_up = False
-        #: Since when it refuses new connections, the last one having ended; None: it does not, or is only silent.
+        self._was_connected = False
+        #: Since when the peer has refused new connections after the last one ended; None if it has not.
         self.refused_us: int | None = None
-        #: Its last heartbeat.
+        #: The peer's last heartbeat on this connection.
         self.said: wire.Hello | None = None
         self._heard_us: int | None = None
-        self._numbers = itertools.count(1)
-        self._open: dict[int, AsyncResult] = {}
+        self._request_ids = itertools.count(1)
+        self._pending: dict[int, AsyncResult] = {}
         self.in_contact = False
-        #: The newest leadership that the peer has told of.
+        #: The newest leadership that the peer has reported: (node, token).
         self.told: tuple[str, int] = ("", 0)
-        #: How many changes a second the peer wants to write.
+        #: The peer's write demand a second.
         self.writes = 0.0
-        #: Does the peer hear none of the workers that it had?
+        #: Has the peer lost contact with all of its workers?
         self.deaf = False
-        #: How long the last heartbeat and its answer were under way.
+        #: Round-trip time of the last heartbeat and its answer.
         self.round_trip_us = 0
 
     def usable(self) -> bool:
-        """Connected, and heard from just now."""
+        """True if connected, with a message received within the silence limit."""
         return (
             self._outbox is not None
             and self._heard_us is not None
-            and self._clock.now_us() - self._heard_us < SILENCE_US
+            and self._clock.now_us() - self._heard_us < MAX_SILENCE_US
         )
 
     def beat(self) -> bytes:
-        """A heartbeat, to be sent now."""
-        said = self._hello()
-        said.sent = self._clock.now_us()
-        return wire.frame(said)
+        """Returns the frame of a heartbeat to be sent now."""
+        heartbeat = self._hello()
+        heartbeat.sent = self._clock.now_us()
+        return wire.frame(heartbeat)
 
     def start(self) -> None:
-        """Connect and keep connecting."""
+        """Starts to connect, and reconnects whenever the connection ends."""
         gevent.spawn(self._run)
 
     def ask(self, make: Callable[[int], wire.Message], timeout_s: float) -> wire.ReportAnswer | None:
-        """Send a question and wait for its answer; None when there is none in time."""
-        outbox, number = self._outbox, next(self._numbers)
+        """Sends a request and waits for its answer; None if there is none in time."""
+        outbox, number = self._outbox, next(self._request_ids)
         if outbox is None or not outbox.put(wire.frame(make(number))):
             return None
-        result = self._open[number] = AsyncResult()
+        result = self._pending[number] = AsyncResult()
         try:
             with gevent.Timeout(timeout_s, False):
                 return result.get()
             return None
         finally:
-            self._open.pop(number, None)
+            self._pending.pop(number, None)
 
     def _run(self) -> None:
         while True:
             try:
                 self._connect()
             except Exception:
-                self.log.exception("the link to %s is made anew", self.peer.name)
-            gevent.sleep(RECONNECT_S)
+                self.log.exception("link to %s failed and is opened again", self.peer.name)
+            gevent.sleep(RECONNECT_DELAY_S)
 
     def _connect(self) -> None:
-        """Connect, and read what the peer says until the connection ends."""
+        """Connects, and reads the peer's messages until the connection ends."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             with gevent.Timeout(1.0):
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 sock.connect(split_address(self.peer.address))
-            self._outbox, self._was_up, self.refused_us = Outbox(sock), True, None
-            beat = gevent.spawn(self._beat, self._outbox)
+            self._outbox, self._was_connected, self.refused_us = Outbox(sock), True, None
+            beat = gevent.spawn(self._send_heartbeats, self._outbox)
             try:
                 self._read(sock)
             finally:
@@ -160,23 +160,23 @@
             self.log.debug("link to %s: %s", self.peer.name, error)
             if not isinstance(error, ConnectionRefusedError):
                 self.refused_us = None
-            elif self._was_up and self.refused_us is None:
+            elif self._was_connected and self.refused_us is None:
                 self.refused_us = self._clock.now_us()
         finally:
             self._end(sock)
 
     def _end(self, sock: socket.socket) -> None:
-        """The connection is over: nothing that the peer said on it holds any more."""
-        said, self.said = self.said, None
+        """Closes the connection: what the peer reported on it is no longer valid."""
+        heartbeat, self.said = self.said, None
         self._outbox = self._heard_us = None
         self.in_contact = False
         sock.close()
-        for result in list(self._open.values()):
+        for result in list(self._pending.values()):
             result.set(None)
-        if said is not None:
+        if heartbeat is not None:
             self._tell(self.peer.name, None)
 
-    def _beat(self, outbox: Outbox) -> None:
+    def _send_heartbeats(self, outbox: Outbox) -> None:
         while True:
             outbox.put(self.beat())
             gevent.sleep(HEARTBEAT_S)
@@ -191,7 +191,7 @@
             self.take(unframer.feed(data))
 
     def take(self, messages: list[wire.Message]) -> None:
-        """What the peer said on this connection."""
+        """Handles the messages of the peer on our own connection to it."""
         self._heard_us = self._clock.now_us()
         for message in messages:
             if isinstance(message, wire.Hello):
@@ -203,48 +203,48 @@
                 self.said = message
                 self._tell(self.peer.name, message)
             elif isinstance(message, wire.ReportAnswer):
-                result = self._open.get(message.id)
+                result = self._pending.get(message.id)
                 if result is not None:
                     result.set(message)
 
 
 class Peers:
-    """All links, and the server that answers the others' questions."""
+    """All links to other controllers, and the server that answers their requests."""
 
     def __init__(
         self,
         config: Config,
         clock: Clock,
         hello: Callable[[], wire.Hello],
-        answering: Answering | None = None,
-        told: Callable[[str, wire.Hello | None], None] = lambda name, message: None,
+        answer_heartbeat: HeartbeatAnswer | None = None,
+        on_heartbeat: Callable[[str, wire.Hello | None], None] = lambda name, message: None,
     ) -> None:
         self.log = logging.getLogger("peers")
         self._clock = clock
-        self._answering: Answering = answering or (lambda heard, line: (hello(), line))
-        self.links = {peer.name: Link(peer, hello, clock, told) for peer in config.peers}
+        self._answer_heartbeat: HeartbeatAnswer = answer_heartbeat or (lambda received, line: (hello(), line))
+        self.links = {peer.name: Link(peer, hello, clock, on_heartbeat) for peer in config.peers}
         self._handler: Handler = lambda message: None
         self._reports: ReportsHandler = lambda reports: []
         self._server = StreamServer(split_address(config.peer_bind), self._serve)
 
     def start(self, handler: Handler, reports: ReportsHandler) -> None:
-        """Listen and connect; `handler` answers a question, `reports` all reports that came together."""
+        """Listens and connects; `handler` answers a request, `reports` all reports that arrived together."""
         self._handler, self._reports = handler, reports
         self._server.start()
         for link in self.links.values():
             link.start()
 
     def reported_leader(self) -> tuple[str, int]:
-        """The newest leadership that any peer has told of, for a node that the state service shuns."""
+        """Returns the newest leadership that any peer reported, for a node that cannot read the state service."""
         return max((link.told for link in self.links.values()), key=lambda told: told[1], default=("", 0))
 
     def forward_request(self, method: str, path: str, body: str) -> wire.ReportAnswer | None:
-        """Have a user's request answered by a peer that reaches the state service, if there is one.
+        """Has a user's request answered by a peer that reaches the state service; None if there is none.
 
-        All of them together have as long as one: with six that were slow, one after the other, a user was told
-        nothing in the time for which users wait.
+        One timeout covers all peers: with a timeout for each, six slow peers in a row left a user without an answer
+        within the time for which users wait.
         """
-        until_us = self._clock.now_us() + to_us(REQUEST_S)
+        until_us = self._clock.now_us() + to_us(REQUEST_TIMEOUT_S)
         for link in self.links.values():
             left_us = until_us - self._clock.now_us()
             if left_us > 0 and link.usable() and link.in_contact:
@@ -253,54 +253,54 @@
                     return answer
         return None
 
-    def demands(self) -> dict[str, float]:
-        """What each peer that we hear wants to write a second."""
+    def write_demands(self) -> dict[str, float]:
+        """Returns the write demand a second of each connected peer."""
         return {name: link.writes for name, link in self.links.items() if link.usable()}
 
-    def deaf_zones(self) -> set[str]:
-        """Zones of which a controller that we hear hears none of the workers that it had."""
+    def zones_without_reports(self) -> set[str]:
+        """Returns the zones where a connected controller has lost contact with all of its workers."""
         return {link.peer.zone for link in self.links.values() if link.usable() and link.deaf}
 
     def is_connected(self, node: str) -> bool:
-        """Is this controller heard by us right now?"""
+        """True if the link to this controller is usable right now."""
         link = self.links.get(node)
         return link is not None and link.usable()
 
     def candidates(self) -> list[Candidate]:
-        """Every other controller that we hear, as a possible leader."""
+        """Returns every connected controller as a candidate for the leadership."""
         return [
             Candidate(
                 name,
                 link.peer.zone,
-                said.in_contact,
-                said.deaf,
-                said.behind,
-                said.lag_ms * 1000,
-                said.lost,
-                said.rests,
-                said.pages,
+                heartbeat.in_contact,
+                heartbeat.deaf,
+                heartbeat.behind,
+                heartbeat.lag_ms * 1000,
+                heartbeat.lost,
+                heartbeat.rests,
+                heartbeat.pages,
             )
             for name, link in self.links.items()
-            if link.usable() and (said := link.said) is not None
+            if link.usable() and (heartbeat := link.said) is not None
         ]
 
-    def reads(self, node: str) -> bool:
-        """Is this controller heard by us, and does it reach the state service?"""
+    def reads_state(self, node: str) -> bool:
+        """True if this controller is connected and reaches the state service."""
         link = self.links.get(node)
         return link is not None and link.usable() and link.in_contact
 
-    def hears_any(self) -> bool:
-        """Do we hear any other controller?"""
+    def any_connected(self) -> bool:
+        """True if any other controller is connected."""
         return any(link.usable() for link in self.links.values())
 
-    def refuses(self, node: str) -> bool:
-        """Did our connection to this controller end, and does it refuse a new one, for long enough to say so?"""
+    def refuses_connections(self, node: str) -> bool:
+        """True if our connection to this controller ended and it has refused new ones for LOST_US."""
         link = self.links.get(node)
         return link is not None and link.refused_us is not None and self._clock.now_us() - link.refused_us >= LOST_US
 
-    def any_in_contact(self) -> bool:
-        """Does any peer that we hear reach the state service?"""
-        return any(self.reads(node) for node in self.links)
+    def any_reads_state(self) -> bool:
+        """True if any connected controller reaches the state service."""
+        return any(self.reads_state(node) for node in self.links)
 
     def _serve(self, sock: socket.socket, address: tuple[str, int]) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -313,20 +313,20 @@
                     return
                 self.take(unframer.feed(data), outbox)
         except wire.FrameError as error:
-            self.log.error("refused a frame from %s: %s", address[0], error)
+            self.log.error("frame from %s refused: %s", address[0], error)
         except (OSError, gevent.Timeout):
             pass
         finally:
             sock.close()
 
     def take(self, messages: list[wire.Message], outbox: Outbox) -> None:
-        """Answer what came together on one connection; nothing here waits."""
+        """Handles messages that arrived together on one connection, without waiting for their answers."""
         reports = []
         for message in messages:
             if isinstance(message, wire.Hello):
-                said, line = self._answering(message, outbox.line)
-                said.sent = message.sent
-                if outbox.put(wire.frame(said)):
+                heartbeat, line = self._answer_heartbeat(message, outbox.line)
+                heartbeat.sent = message.sent
+                if outbox.put(wire.frame(heartbeat)):
                     outbox.line = line
             elif isinstance(message, wire.ForwardReport):
                 reports.append(message)
@@ -341,11 +341,11 @@
             if answer is not None:
                 outbox.put(wire.frame(answer))
         except Exception:
-            self.log.exception("could not answer a peer")
+            self.log.exception("answer to a request of a peer failed")
 
     def _answer_reports(self, outbox: Outbox, reports: list[wire.ForwardReport]) -> None:
         try:
             for answer in self._reports(reports):
                 outbox.put(wire.frame(answer))
         except Exception:
-            self.log.exception("could not answer the reports of a peer")
+            self.log.exception("answer to forwarded reports of a peer failed")
--- a/src/tideusher/actors/replies.py
+++ b/src/tideusher/actors/replies.py
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """An HTTP answer to a user."""
+    """An HTTP answer to a user or an operator."""
 
     status: int
     body: Any
@@ -14,10 +14,10 @@
 
 
 def refusal(status: int, reason: str) -> Reply:
-    """A refusal in one line, at once."""
+    """Returns a refusal with its reason."""
     return Reply(status, {"error": reason}, retry_later(status))
 
 
 def retry_later(status: int) -> list[tuple[str, str]]:
-    """What cannot be taken now is told when to come back, instead of being held."""
+    """Returns the Retry-After header of a status that allows a retry: such requests are refused, not queued."""
     return [("Retry-After", "1")] if status in (429, 503) else []
--- a/src/tideusher/actors/scripts.py
+++ b/src/tideusher/actors/scripts.py
@@ -1,6 +1,6 @@
 """PBS scripts sent to a node: translated by its profile, then accepted like any job (docs/pbs.md).
 
-Loaded when the first script comes; a node that takes none never loads it, nor what it rests on.
+Imported with the first script; a node without scripts never loads this module or its dependencies.
 """
 
 import logging
@@ -11,7 +11,7 @@
 import msgspec
 
 from tideusher.actors.replies import Reply, refusal
-from tideusher.actors.store import BURST_WRITES, Store, Unavailable
+from tideusher.actors.store import WRITE_BURST_SHARE, Store, Unavailable
 from tideusher.clock import Clock, to_s
 from tideusher.config import Config
 from tideusher.core.model import keys
@@ -26,49 +26,49 @@
 if TYPE_CHECKING:
     from tideusher.pbs import Profile
 
-MAX_OFFSET_S = 86_399
+MAX_UTC_OFFSET_S = 86_399
 _decode: Callable[[bytes], ScriptRequest] = msgspec.json.Decoder(ScriptRequest).decode
 
 
-class Acceptance(Protocol):
-    """What scripts need of the users' part."""
+class JobAcceptance(Protocol):
+    """The methods of `Users` that scripts need."""
 
     log: logging.Logger
 
     def accept(self, spec: wire.JobSpec, more: Sequence[state.Write] = ()) -> Reply:
-        """Accept a job with what else is to be written together with it."""
+        """Accepts a job; `more` holds further writes for the same transaction."""
 
     def poll(self, job_id: str) -> Reply:
-        """The job's state."""
+        """Returns the job's state."""
 
     def known_ref(self, body: bytes) -> Reply | None:
-        """The state of the job that the body names, if it is known."""
+        """Returns the state of the job that the body names, if it is known."""
 
 
 class Scripts:
-    """Knows the profile; acceptance is the users' part's, so that scripts get no rule of their own."""
+    """Translates scripts by the profile; jobs are accepted by `Users`, so scripts have no rules of their own."""
 
-    def __init__(self, config: Config, clock: Clock, store: Store, users: Acceptance, profile: "Profile") -> None:
+    def __init__(self, config: Config, clock: Clock, store: Store, users: JobAcceptance, profile: "Profile") -> None:
         self._clock, self._store, self._users, self._profile = clock, store, users, profile
-        self._value_bytes = int(config.settings.state.value_kb * 1024)
-        # One write is the job's own record. A node must be able to write all of it within a user's patience,
-        # or a large script would be told to come back for ever: no more than what it may save up.
+        self._max_value_bytes = int(config.settings.state.value_kb * 1024)
+        # One write is the job's own record. A script may not need more writes than a node's burst: the transaction
+        # would never fit the budget within the time for which users wait, and the script would be refused for ever.
         limits = config.settings.state
-        self._most_values = max(1, min(limits.txn_ops, int(limits.write_rps * BURST_WRITES)) - 1)
+        self._max_values = max(1, min(limits.txn_ops, int(limits.write_rps * WRITE_BURST_SHARE)) - 1)
 
     def profile(self) -> Reply:
-        """What PBS does not say and this service adds, for those who translate before they submit."""
+        """Returns the profile, for clients that translate scripts before they submit them."""
         return Reply(200, self._profile)
 
     def submit(self, body: bytes) -> Reply:
-        """Translate and accept. A script that was taken before gets its job's state, whatever it says now."""
+        """Translates and accepts a script. One accepted before gets its job's state, whatever it holds now."""
         try:
             request = _decode(body)
             if not wire.JOB_ID.fullmatch(request.ref):
                 raise msgspec.ValidationError("ref must look like req-000412")
             if (request.script is None) == (request.packed is None):
-                raise msgspec.ValidationError("one of script and packed holds the script")
-            if abs(request.utc_offset_s) > MAX_OFFSET_S:
+                raise msgspec.ValidationError("exactly one of script and packed must hold the script")
+            if abs(request.utc_offset_s) > MAX_UTC_OFFSET_S:
                 raise msgspec.ValidationError("utc_offset_s is more than a day")
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             return self._users.known_ref(body) or refusal(400, str(error) or "it is nested too deeply")
@@ -80,10 +80,10 @@
             now = datetime.fromtimestamp(to_s(self._clock.wall_us()), zone)
             script = read_script(text, request.file, request.options)
             submission = translate(script, self._profile, request.ref, now, request.environment)
-            values = pack(submission.run, text, self._value_bytes, self._most_values)
+            values = pack(submission.run, text, self._max_value_bytes, self._max_values)
         except (Refusal, ScriptTooLarge, Damaged, UnicodeEncodeError) as error:
             reason = f"{request.file}:0: {error}" if not isinstance(error, Refusal) else str(error)
-            self._users.log.info("refused a script: %s", reason)
+            self._users.log.info("script refused: %s", reason)
             return self._users.known_ref(body) or refusal(400, reason)
         spec = submission.spec
         parts = [Put(keys.script_key(spec.id, number), value) for number, value in enumerate(values)]
@@ -94,7 +94,7 @@
         return reply
 
     def fetch(self, job_id: str) -> Reply:
-        """The script of a job, for whoever runs its tasks."""
+        """Returns the script of a job, for whoever runs its tasks."""
         try:
             status, answer = self._store.call("GET", f"/keys?under={keys.script_prefix(job_id)}&most=1000")
         except Unavailable:
--- a/src/tideusher/actors/store.py
+++ b/src/tideusher/actors/store.py
@@ -1,7 +1,7 @@
-"""The state service: a client with a rate budget, and a mirror of our keys kept by watches.
+"""The client of the state service: rate-limited requests, and a mirror of our keys kept up to date by watches.
 
-The mirror is what every node answers from. How fresh it is matters (safety 6 and 7), so the time at
-which the newest completed read was *sent* is kept beside it.
+Every node answers from its mirror. Its freshness matters (safety 6 and 7), so the time at which the newest completed
+read was *sent* is kept beside it.
 """
 
 import logging
@@ -30,105 +30,105 @@
 
 LONG_POLL_MS = 1000
 
-# The leader's share of the state service's limits; the other nodes share the rest.
-LEADER_REQUESTS, LEADER_WRITES = 0.55, 0.55
-#: What a node may save up for a burst of its users, as a share of the writes of one second.
-BURST_WRITES = 0.25
-#: Of the writes that others leave unused this share is taken: what they told is half a second old.
-TAKEN = 0.8
-#: The leader's share is lent up to this part only: its assignments come in bursts, and go first.
-LEADER_LENDS = 0.5
+#: The leader's share of the state service's limits; the other nodes share the rest.
+LEADER_REQUEST_SHARE, LEADER_WRITE_SHARE = 0.55, 0.55
+#: Burst size of a node's write budget, as a share of the service's writes in one second.
+WRITE_BURST_SHARE = 0.25
+#: Share of the writes unused by other nodes that is used: their reported demand is half a second old.
+SPARE_WRITE_SHARE = 0.8
+#: Share of the leader's writes that other nodes may use: its assignments come in bursts and have priority.
+LEADER_LENDABLE_SHARE = 0.5
 
 
 class Unavailable(Exception):
-    """The state service does not answer, or refuses; nothing is known of what was asked."""
+    """The state service does not answer, or refuses; the outcome of the request is unknown."""
 
 
 class Throttled(Unavailable):
-    """The budget is spent for now: nothing was done, and it would take too long to wait."""
+    """The request budget is spent: nothing was done, and waiting would take too long."""
 
 
 class Malformed(Unavailable):
-    """The state service answered what nobody can read: nothing is known of what was asked."""
+    """The answer of the state service cannot be decoded; the outcome of the request is unknown."""
 
 
 class Conflict(Exception):
-    """A transaction's guards failed: it did nothing."""
+    """A guard of the transaction failed: nothing was written."""
 
     def __init__(self, failed: list[str]) -> None:
         super().__init__(", ".join(failed))
         self.failed = failed
 
 
-class NoLease(Exception):
-    """The lease has run out."""
+class LeaseExpired(Exception):
+    """The lease has expired."""
 
 
 class TokenBucket:
-    """A token bucket with a burst, by default one second's worth, as the service itself counts."""
+    """A token bucket. Its burst is at least one second's worth, as the service itself counts."""
 
     def __init__(self, rate: float, clock: Clock, burst: float = 0.0) -> None:
         self._clock = clock
         self._rate, self._burst = rate, max(rate, burst)
-        self._level, self._at_us = self._burst, clock.now_us()
+        self._tokens, self._at_us = self._burst, clock.now_us()
 
     def set(self, rate: float, burst: float = 0.0) -> None:
-        """Fill at this rate from now on."""
+        """Changes the rate and the burst from now on."""
         self._refill()
         self._rate, self._burst = rate, max(rate, burst)
 
     def wait_s(self, amount: float, before: float = 0.0) -> float:
-        """Take the amount; returns how long to wait before using it.
+        """Takes the amount and returns how long to wait before using it, in seconds.
 
-        `before`: so much of what was taken is not used yet, and lets this go first.
+        `before`: tokens already taken by others that wait and let this request go first.
         """
         self._refill()
-        self._level -= amount
-        return max(0.0, -(self._level + before) / self._rate)
+        self._tokens -= amount
+        return max(0.0, -(self._tokens + before) / self._rate)
 
     def _refill(self) -> None:
         now_us = self._clock.now_us()
-        self._level = min(self._burst, self._level + self._rate * (now_us - self._at_us) / SECOND_US)
+        self._tokens = min(self._burst, self._tokens + self._rate * (now_us - self._at_us) / SECOND_US)
         self._at_us = now_us
 
     def give_back(self, amount: float) -> None:
-        """What was taken will not be used."""
-        self._level += amount
+        """Returns tokens that were taken and will not be used."""
+        self._tokens += amount
 
     def drain(self) -> None:
-        """The service said 429: whatever we thought was left is not."""
+        """Empties the bucket after a 429: the service counts fewer tokens left than we do."""
         self._refill()
-        self._level = min(self._level, 0.0)
+        self._tokens = min(self._tokens, 0.0)
 
 
-class Demand:
-    """How much was asked for in about the last second, a second."""
+class DemandRate:
+    """Demand in units a second, averaged over about the last second."""
 
     def __init__(self, clock: Clock) -> None:
-        self._clock, self._level, self._at_us = clock, 0.0, clock.now_us()
+        self._clock, self._tokens, self._at_us = clock, 0.0, clock.now_us()
 
     def add(self, amount: float) -> None:
-        """So much more is asked for."""
-        self._level = self.rate() + amount
+        """Adds new demand."""
+        self._tokens = self.rate() + amount
 
     def rate(self) -> float:
-        """Older demand counts for less: a third after a second."""
+        """Returns the demand a second; older demand decays, to a third after one second."""
         now_us = self._clock.now_us()
-        self._level *= exp((self._at_us - now_us) / SECOND_US)
+        self._tokens *= exp((self._at_us - now_us) / SECOND_US)
         self._at_us = now_us
-        return self._level
+        return self._tokens
 
 
 @dataclass(slots=True)
 class MirroredValue:
-    """A mirrored key."""
+    """The value of a mirrored key, and its stamp: the revision of its last change."""
 
     value: Any
     stamp: int
 
 
 class Store(Actor):
-    """Owns the mirror. Reads of the mirror are direct; everything else is a message or a call."""
+    """Owns the mirror. The mirror is read directly; everything else is a message or a call."""
 
     def __init__(self, config: Config, clock: Clock, metrics: Metrics) -> None:
         super().__init__("store")
@@ -136,22 +136,22 @@
         self._clock = clock
         limits = config.settings.state
         nodes = max(1, config.settings.size)
-        self._limits, self._others, self._node = limits, max(1, nodes - 1), config.node
+        self._limits, self._other_nodes, self._node = limits, max(1, nodes - 1), config.node
         self._requests = TokenBucket(limits.rps, clock)
         self._writes = TokenBucket(limits.write_rps, clock)
-        self._wanted = Demand(clock)
-        self._told: Callable[[], dict[str, float]] = dict
+        self._write_demand = DemandRate(clock)
+        self._peer_demands: Callable[[], dict[str, float]] = dict
         self._leading = False
-        self._queued = 0  # writes of the leader's that wait for their turn
+        self._queued_leader_writes = 0  # the leader's writes that wait for the budget
         self._client = HttpClient(config.endpoints.state, timeout_s=3.0, keep=6)
         self.mirror: dict[str, MirroredValue] = {}
         self._removed: dict[str, int] = {}
-        #: Where the first tasks of each job are on record.
+        #: Where the record of each job's first tasks is.
         self.placements = Placements(self._is_open)
         self.revision = 0
         self.lead(False)
         self.loaded = Event()
-        #: Steady time at which the newest read that was answered had been sent; None: never.
+        #: Steady time at which the newest answered read had been sent; None if none was answered.
         self.contact_us: int | None = None
         self._listeners: list[Listener] = []
         self._waiting: list[AsyncResult] = []
@@ -162,66 +162,68 @@
         gevent.spawn(self._follow)
 
     def lead(self, leading: bool) -> None:
-        """Take the leader's share of the budget, or a plain node's (and see `_share_writes`).
+        """Takes the leader's share of the budget, or that of any other node (see also `_share_writes`).
 
-        The renewal of leadership takes no part in it. Users come to one node in bursts while the others
-        have none, so a plain node may save up for them; should all burst at once, the service refuses
+        Renewals of the leader's lease are not counted. Users come to one node in bursts while the others have none,
+        so a node that does not lead may save up writes for them; if all nodes burst at once, the service refuses
         some writes with 429, unexecuted, and they are sent again.
         """
         self._leading = leading
-        requests = LEADER_REQUESTS if leading else (1 - LEADER_REQUESTS) / self._others
+        requests = LEADER_REQUEST_SHARE if leading else (1 - LEADER_REQUEST_SHARE) / self._other_nodes
         self._requests.set(self._limits.rps * requests)
         self._share_writes()
-        #: Between two looks at the changes: a plain node leaves most of its requests to users.
-        self._pause_s = 0.1 if leading else max(0.1, 1 / (self._limits.rps * requests))
+        #: Pause between two polls; a node that does not lead leaves most of its requests to users.
+        self._poll_pause_s = 0.1 if leading else max(0.1, 1 / (self._limits.rps * requests))
 
-    def hear_demands(self, told: Callable[[], dict[str, float]]) -> None:
-        """Where to ask what the other nodes, as far as they are heard, want to write a second."""
-        self._told = told
+    def set_demand_source(self, peer_demands: Callable[[], dict[str, float]]) -> None:
+        """Sets the source of the write demand a second that the connected nodes report."""
+        self._peer_demands = peer_demands
 
-    def wanted(self) -> float:
-        """What this node wants to write a second, for the others to know."""
-        return self._wanted.rate()
+    def demand(self) -> float:
+        """Returns this node's write demand a second, to be reported to the others."""
+        return self._write_demand.rate()
 
     def _share_writes(self) -> None:
-        """Our share of the writes, and part of what others leave unused.
+        """Sets the write rate to our share, plus part of what the other nodes leave unused.
 
-        With fixed shares one node of seven had 1.5 writes a second for its users, and refused them by
-        hundreds while the state service was idle. A node that is not heard leaves nothing.
+        With fixed shares one node of seven had 1.5 writes a second for its users, and refused hundreds of requests
+        while the state service was idle. A node that is not connected is assumed to use all of its share.
         """
         leader = self.mirror.get(keys.LEADER)
         leading = self._node if self._leading else leader.value["node"] if leader is not None else None
 
         def share(node: str) -> float:
-            part = LEADER_WRITES if node == leading else (1 - LEADER_WRITES) / self._others
+            part = LEADER_WRITE_SHARE if node == leading else (1 - LEADER_WRITE_SHARE) / self._other_nodes
             return self._limits.write_rps * part
 
-        spare, eager = 0.0, 1
-        for node, wanted in self._told().items():
+        spare, competing = 0.0, 1
+        for node, demand in self._peer_demands().items():
             own = share(node)
-            eager += wanted > own
-            spare += max(0.0, (own * LEADER_LENDS if node == leading else own) - wanted)
-        self._writes.set(share(self._node) + TAKEN * spare / eager, self._limits.write_rps * BURST_WRITES)
+            competing += demand > own
+            spare += max(0.0, (own * LEADER_LENDABLE_SHARE if node == leading else own) - demand)
+        self._writes.set(
+            share(self._node) + SPARE_WRITE_SHARE * spare / competing, self._limits.write_rps * WRITE_BURST_SHARE
+        )
 
     def listen(self, listener: Listener) -> None:
-        """Be called with (key, value or None, stamp) at every change of the mirror."""
+        """Registers a listener, called with (key, value or None, stamp) at every change of the mirror."""
         self._listeners.append(listener)
 
     def read_age_s(self) -> float:
-        """Seconds since the newest read that was answered had been sent; infinite if none was."""
+        """Returns the seconds since the newest answered read had been sent; infinite if none was answered."""
         return inf if self.contact_us is None else to_s(self._clock.now_us() - self.contact_us)
 
     def describe_last_read(self) -> str:
-        """What is known of the state service and since when, for the log."""
+        """Returns the revision and the age of the last read as a text for the log."""
         return f"revision {self.revision} read {self.read_age_s():.2f} s ago"
 
     def stamp_of(self, key: str) -> int:
-        """The mirrored stamp; 0: the key does not exist."""
+        """Returns the mirrored stamp; 0 if the key does not exist."""
         stored = self.mirror.get(key)
         return stored.stamp if stored else 0
 
     def tasks_of(self, job: str, number: int) -> Any:
-        """The record of a job's tasks from CHUNK_TASKS times `number` on, wherever it is; None: there is none."""
+        """Returns the record of a job's tasks from CHUNK_TASKS times `number` on; None if there is none."""
         if number == 0:
             return self.placements.first(job)
         stored = self.mirror.get(keys.chunk_key(job, number))
@@ -232,7 +234,7 @@
     def call(
         self, method: str, path: str, body: Any = None, budget: bool = True, timeout_s: float | None = None
     ) -> tuple[int, bytes]:
-        """One request within the budget; 429 and 503 were not executed and raise Unavailable."""
+        """Sends one request within the budget; 429 and 503 mean that it was not executed and raise Unavailable."""
         if budget:
             pause_s = self._requests.wait_s(1)
             if pause_s:
@@ -258,25 +260,25 @@
         budget: bool = True,
         patience_s: float | None = None,
     ) -> int:
-        """Commit; returns the revision. Raises Conflict or Busy (nothing done) or Unavailable (unknown).
+        """Commits and returns the revision. Raises Conflict or Throttled (nothing done) or Unavailable (unknown).
 
-        With `patience_s` it is Busy at once if the budget would have it wait longer than that.
+        With `patience_s` it raises Throttled at once if the budget requires a longer wait.
         """
-        self._wanted.add(len(writes))
+        self._write_demand.add(len(writes))
         if budget:
             self._share_writes()
-            # Who asks for a user goes before a leader's batch that still waits: after a fall there is one for half
-            # a minute, and the users of that node were all refused meanwhile.
-            ours = patience_s is None
-            pause_s = self._writes.wait_s(len(writes), 0 if ours else self._queued)
+            # A write for a user goes before a waiting batch of the leader: after a mass failure batches wait for half
+            # a minute, and without this all users of that node were refused meanwhile.
+            is_leader_batch = patience_s is None
+            pause_s = self._writes.wait_s(len(writes), 0 if is_leader_batch else self._queued_leader_writes)
             if patience_s is not None and pause_s > patience_s:
                 self._writes.give_back(len(writes))
-                raise Throttled("the budget of writes is spent")
+                raise Throttled("the write budget is spent")
             self._metrics.count("state_writes", "", len(writes))
             if pause_s:
-                self._queued += len(writes) if ours else 0
+                self._queued_leader_writes += len(writes) if is_leader_batch else 0
                 gevent.sleep(pause_s)
-                self._queued -= len(writes) if ours else 0
+                self._queued_leader_writes -= len(writes) if is_leader_batch else 0
         status, answer = self._post_txn(state.Txn(guards, writes), budget)
         if status == 200:
             revision = _decoded(state.decode_txn_done, answer).revision
@@ -289,15 +291,15 @@
         if status == 409:
             raise Conflict(_decoded(state.decode_txn_failed, answer).failed)
         if b"no such lease" in answer:
-            raise NoLease
+            raise LeaseExpired
         raise Unavailable(f"POST /txn: {status} {answer[:200]!r}")
 
     def _post_txn(self, body: state.Txn, budget: bool) -> tuple[int, bytes]:
-        """Send a transaction; one that got 429 did nothing and is sent again a few times."""
+        """Sends a transaction; one that got 429 was not executed and is sent again a few times."""
         pauses = [0.2, 0.4] if budget else []
         while True:
             if budget:
-                self._requests.wait_s(1)  # taken, not waited for: no write queues behind our reads
+                self._requests.wait_s(1)  # taken without waiting: no write queues behind our reads
             try:
                 return self.call("POST", "/txn", body, budget=False)
             except Throttled:
@@ -309,19 +311,19 @@
     # ---------------------------------------------------------------- mirror
 
     def sync(self, timeout_s: float = 2.0) -> bool:
-        """Wait for a read that was sent after this call; True if it was answered in time.
+        """Waits for a read that is sent after this call; True if it was answered in time.
 
-        One shared read serves all who ask while the last one is under way.
+        All calls that come while a read is under way share the next one.
         """
         if not self.loaded.is_set():
             return False
-        result: AsyncResult = AsyncResult()
-        self._waiting.append(result)
+        waiter: AsyncResult = AsyncResult()
+        self._waiting.append(waiter)
         if not self._syncing:
             self._syncing = True
             self.spawn(self._sync_round)
         try:
-            return bool(result.get(timeout=timeout_s))
+            return bool(waiter.get(timeout=timeout_s))
         except gevent.Timeout:
             return False
 
@@ -331,15 +333,15 @@
                 waiting, self._waiting = self._waiting, []
                 try:
                     self._poll(0)
-                    answer = True
+                    succeeded = True
                 except Unavailable as error:
-                    self.log.debug("no contact: %s", error)
-                    answer = False
+                    self.log.debug("state service not reached: %s", error)
+                    succeeded = False
                 except Exception:
-                    self.log.exception("a read failed")
-                    answer = False
-                for result in waiting:
-                    result.set(answer)
+                    self.log.exception("read of the state service failed")
+                    succeeded = False
+                for waiter in waiting:
+                    waiter.set(succeeded)
                 if self._waiting:
                     gevent.sleep(0.04)
         finally:
@@ -358,8 +360,8 @@
             timeout_s=wait_ms / 1000 + 1.5,
         )
         if status == 410:
-            # Its pages are of different moments: of a job that ended in between one has the record still open, the
-            # next lacks the chunk with its done tasks. What changed meanwhile makes them one state again.
+            # The pages of a full read are of different revisions: for a job that ended in between, one page holds the
+            # open record and the next lacks the chunk with its done tasks. The changes since then make it consistent.
             self._load()
             self._poll(0)
             return
@@ -368,29 +370,29 @@
         changes = _decoded(state.decode_changes, answer)
         for event in changes.events:
             if event.stamp <= self.revision:
-                # An answer that was overtaken by a newer one. Its removals may be forgotten here
-                # already: a key put back from it would stay for ever, and every transaction that
-                # takes its stamp from the mirror would fail.
+                # This answer was overtaken by a newer one, and removals of keys in it may have been dropped from
+                # `_removed` already. A key restored from it would stay for ever, and every transaction that takes
+                # its stamp from the mirror would fail.
                 continue
             if event.put is not None:
                 self._apply(event.put, _present(event.value), event.stamp)
             elif event.removed is not None:
                 self._apply(event.removed, None, event.stamp)
-        self._advance(changes.revision)
-        self._touched(sent_us)
+        self._advance_revision(changes.revision)
+        self._record_contact(sent_us)
 
-    def _touched(self, sent_us: int) -> None:
+    def _record_contact(self, sent_us: int) -> None:
         if self.contact_us is None or sent_us > self.contact_us:
             self.contact_us = sent_us
 
-    def _advance(self, revision: int) -> None:
+    def _advance_revision(self, revision: int) -> None:
         if revision > self.revision:
             self.revision = revision
             if self._removed:
                 self._removed = {k: s for k, s in self._removed.items() if s > revision}
 
     def _apply(self, key: str, value: Any, stamp: int) -> None:
-        """Newest stamp wins, so overlapping answers and our own writes may come in any order."""
+        """Applies a change if it is the newest of its key: overlapping answers and our writes come in any order."""
         old = self.mirror.get(key)
         if stamp <= (old.stamp if old else self._removed.get(key, 0)):
             return
@@ -399,14 +401,14 @@
             self._removed[key] = stamp
         else:
             self.mirror[key] = MirroredValue(value, stamp)
-        self._place(key, value, stamp)
+        self._update_placement(key, value, stamp)
         for listener in self._listeners:
             try:
                 listener(key, value, stamp)
             except Exception:
-                self.log.exception("a listener failed at the change of %s", key)
+                self.log.exception("listener failed on the change of key %s", key)
 
-    def _place(self, key: str, value: Any, stamp: int) -> None:
+    def _update_placement(self, key: str, value: Any, stamp: int) -> None:
         if key.startswith(keys.PAGE_PREFIX):
             self.placements.page_changed(key, value, stamp)
         elif key.startswith(keys.CHUNK_PREFIX):
@@ -421,10 +423,10 @@
         return stored is not None and not is_final(keys.job_key(job), stored.value)
 
     def _load(self) -> None:
-        """Read everything; what is no longer there is removed from the mirror."""
+        """Reads all keys; those that no longer exist are removed from the mirror."""
         sent_us = self._clock.now_us()
         found: dict[str, state.Item] = {}
-        first: int | None = None
+        first_revision: int | None = None
         since = ""
         while True:
             after = f"&since={since}" if since else ""
@@ -432,42 +434,42 @@
             if status != 200:
                 raise Unavailable(f"GET /keys: {status}")
             page = _decoded(state.decode_items, answer)
-            if first is None:
-                first = page.revision
+            if first_revision is None:
+                first_revision = page.revision
             for item in page.items:
                 found[item.key] = item
             if not page.more or not page.items:
                 break
             since = page.items[-1].key
-        for key in [k for k, stored in self.mirror.items() if k not in found and stored.stamp <= first]:
-            self._apply(key, None, first)
+        for key in [k for k, stored in self.mirror.items() if k not in found and stored.stamp <= first_revision]:
+            self._apply(key, None, first_revision)
         for item in found.values():
             if item.stamp > self.revision:
                 self._apply(item.key, _present(item.value), item.stamp)
-        self.revision = max(self.revision, first)
-        self._touched(sent_us)
+        self.revision = max(self.revision, first_revision)
+        self._record_contact(sent_us)
         self.loaded.set()
 
     def _follow(self) -> None:
-        """Keep the mirror fresh with one watch at a time, spaced so as not to eat the request budget."""
+        """Keeps the mirror up to date with one watch at a time, spaced to save the request budget."""
         while True:
             try:
                 if not self.loaded.is_set():
                     self._load()
                     self.log.info("mirror loaded: %d keys at revision %d", len(self.mirror), self.revision)
                 self._poll(LONG_POLL_MS)
-                pause_s = self._pause_s
+                pause_s = self._poll_pause_s
             except Unavailable as error:
-                self.log.debug("no contact: %s", error)
+                self.log.debug("state service not reached: %s", error)
                 pause_s = 0.3
             except Exception:
-                self.log.exception("the mirror could not be brought up to date")
+                self.log.exception("update of the mirror failed")
                 pause_s = 1.0
             gevent.sleep(pause_s)
 
 
 def _decoded(decode: Callable[[bytes], T], answer: bytes) -> T:
-    """An answer of the state service; raises Malformed."""
+    """Decodes an answer of the state service; raises Malformed."""
     try:
         return decode(answer)
     except msgspec.DecodeError as error:
@@ -476,10 +478,10 @@
 
 
 def lease_of(answer: bytes) -> int:
-    """The lease that the state service granted; raises Malformed."""
+    """Returns the id of the lease that the state service granted; raises Malformed."""
     return _decoded(state.decode_lease, answer).id
 
 
 def _present(value: Any) -> Any:
-    """A key that holds `null` is there all the same: as a value of ours it is empty."""
+    """Returns the mirrored value of an existing key: a `null` becomes an empty object, since None means removed."""
     return {} if value is None else value
--- a/src/tideusher/actors/users.py
+++ b/src/tideusher/actors/users.py
@@ -1,4 +1,4 @@
-"""Users: submissions, polls and cancellations, answered by any node (docs/safety.md, 7)."""
+"""The user API: submissions, polls and cancellations, answered by any node (docs/safety.md, 7)."""
 
 import logging
 from collections.abc import Callable, Sequence
@@ -7,7 +7,7 @@
 import msgspec
 
 from tideusher.actors.replies import Reply, refusal
-from tideusher.actors.store import Conflict, NoLease, Store, Throttled, Unavailable
+from tideusher.actors.store import Conflict, LeaseExpired, Store, Throttled, Unavailable
 from tideusher.clock import Clock, to_us
 from tideusher.config import Config
 from tideusher.core.decide.conditions import unsatisfiable_reason
@@ -24,26 +24,26 @@
     from tideusher.actors.scripts import Scripts
     from tideusher.pbs.profile import Profile
 
-#: Who would have to wait longer for the state service's budget is told at once to come back.
-PATIENCE_S = 2.0
-#: An acceptance that took longer may have been overtaken: other nodes read it at once, and their users went on.
-PROMPT_US = to_us(0.1)
+#: A request that would wait longer for the write budget is refused at once, with a Retry-After.
+MAX_BUDGET_WAIT_S = 2.0
+#: After a slower acceptance the job's state is read again: other nodes read it at once, and users act on it.
+PROMPT_ACCEPTANCE_US = to_us(0.1)
 
 
 class HoldRequest(msgspec.Struct):
-    """The body of a hold; all of it may be missing."""
+    """The body of a hold request; it may be empty."""
 
     by: str = "its user"
 
 
 class ShrinkRequest(msgspec.Struct):
-    """The body of a request to make a service smaller."""
+    """The body of a request to reduce the replicas of a service."""
 
     tasks: Annotated[int, msgspec.Meta(ge=1)] = msgspec.field(name="pieces")
 
 
 class Users:
-    """Stateless beside the mirror: every acceptance and cancellation is a guarded transaction."""
+    """Handles requests of users. Keeps no state but the mirror: every change is a guarded transaction."""
 
     def __init__(
         self,
@@ -57,17 +57,17 @@
         self.log = logging.getLogger("users")
         self._config, self._profile, self._metrics = config, profile, metrics or Metrics()
         self._scripts: Scripts | None = None
-        self._conditions = conditions  # are jobs with conditions taken (`jobs.conditions`)?
+        self._conditions = conditions  # are jobs with conditions accepted (`jobs.conditions`)?
         self._clock, self._store = clock, store
-        #: Whom to tell of a job that was cancelled here.
+        #: Called with the name of each job that was cancelled here.
         self.on_cancelled: Callable[[str], None] = lambda job_id: None
-        self._max_value = int(config.settings.state.value_kb * 1024)
+        self._max_value_bytes = int(config.settings.state.value_kb * 1024)
         self._teams = {team.name: team for team in config.settings.teams}
         self._types_value: Any = None
         self._types: list[MachineType] = []
 
     def handle(self, method: str, path: str, body: bytes) -> Reply:
-        """Answer a request for a job's submission, state or cancellation."""
+        """Routes a request on jobs by its path and method."""
         if path == "/pbs":
             return self._script_request(method, body)
         if path == "/work":
@@ -89,7 +89,7 @@
 
     def _script_service(self) -> "Scripts | None":
         if self._scripts is None and self._profile is not None:
-            from tideusher.actors.scripts import Scripts  # with the first script, not at each start
+            from tideusher.actors.scripts import Scripts  # imported with the first script, not at each start
 
             self._scripts = Scripts(self._config, self._clock, self._store, self, self._profile)
         return self._scripts
@@ -97,7 +97,7 @@
     def _script_request(self, method: str, body: bytes) -> Reply:
         scripts = self._script_service()
         if scripts is None:
-            return refusal(404, "PBS scripts are not taken here (no pbs.* settings)")
+            return refusal(404, "PBS scripts are not accepted here (no pbs.* settings)")
         if method == "GET":
             return scripts.profile()
         return scripts.submit(body) if method == "POST" else refusal(405, "GET and POST only")
@@ -111,30 +111,30 @@
     # ---------------------------------------------------------------- POST /work
 
     def submit(self, body: bytes) -> Reply:
-        """Accept a job once it is in the state service, never before."""
+        """Accepts a job once it is in the state service, never before."""
         try:
             spec = wire.parse_job(body)
         except InvalidJob as error:
             known = self.known_ref(body)
             if known is not None:
                 return known
-            self.log.info("refused a submission: %s", error)
+            self.log.info("submission refused: %s", error)
             return refusal(400, str(error))
         return self.accept(spec)
 
     def accept(self, spec: JobSpec, more: Sequence[Write] = ()) -> Reply:
-        """Accept a job that is well-formed, with what else is to be written together with it."""
+        """Accepts a well-formed job; `more` holds further writes for the same transaction."""
         if self._store.mirror.get(keys.job_key(spec.id)) is not None:
             return self._state(spec.id)
         self._metrics.job("asked", spec.job_class, spec.team if spec.team in self._teams else "unknown")
         key, value = keys.job_key(spec.id), open_value(spec, self._clock.wall_us())
-        problem = self._cannot_run(spec) or self._cannot_wait(spec)
-        if problem is None and len(msgspec.json.encode(value)) > self._max_value:
-            # The state service would refuse it each time; the user must not be told to come back.
+        problem = self._requirements_refusal(spec) or self._conditions_refusal(spec)
+        if problem is None and len(msgspec.json.encode(value)) > self._max_value_bytes:
+            # The state service would refuse it every time, so the user must not be told to retry.
             problem = 400, "the job's description is too long"
         if problem is not None:
             status, reason = problem
-            # Only a read can tell that this is not a repeat of a job that another node has just accepted.
+            # Only a read shows that this is not a repeat of a job that another node has just accepted.
             if not self._store.sync():
                 return refusal(503, "the state service does not answer")
             if key in self._store.mirror:
@@ -143,25 +143,25 @@
             return refusal(status, reason)
         sent_us = self._clock.now_us()
         try:
-            revision = self._store.txn([Guard(key, 0)], [Put(key, value), *more], patience_s=PATIENCE_S)
+            revision = self._store.txn([Guard(key, 0)], [Put(key, value), *more], patience_s=MAX_BUDGET_WAIT_S)
         except Conflict:
             return self._state(spec.id)
         except Throttled:
             self.log.info("could not accept %s now: too many changes at once", spec.id)
             return refusal(503, "too many changes at once")
-        except (Unavailable, NoLease) as error:
+        except (Unavailable, LeaseExpired) as error:
             self.log.info("could not accept %s now: %s", spec.id, error)
             return refusal(503, "the state service does not answer")
         self.log.info("accepted %s of %s: %s of %d", spec.id, spec.team, spec.shape, spec.tasks)
         self._metrics.job("accepted", spec.job_class, spec.team)
-        if self._clock.now_us() - sent_us > PROMPT_US or self._store.stamp_of(key) > revision:
-            # Others read it while our answer was under way: a user who was told of its end by one of them was then
-            # told here that it is pending.
+        if self._clock.now_us() - sent_us > PROMPT_ACCEPTANCE_US or self._store.stamp_of(key) > revision:
+            # Other nodes may have read the job before our answer came. Without the new read a user who had learned
+            # from one of them that it ended was then told here that it is pending.
             return self._state(spec.id)
         return Reply(201, JobStatus(spec.id, wire.PENDING))
 
     def known_ref(self, body: bytes) -> Reply | None:
-        """A repeated `ref` gets the job's state whatever its body says."""
+        """Returns the job's state if the body's `ref` is known, whatever else it holds; None if it is not."""
         try:
             raw = msgspec.json.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -176,47 +176,47 @@
                 return None
         return self._state(ref)
 
-    def _cannot_run(self, spec: JobSpec) -> tuple[int, str] | None:
+    def _requirements_refusal(self, spec: JobSpec) -> tuple[int, str] | None:
         team = self._teams.get(spec.team)
         if team is None:
             return 422, f"unknown team {spec.team}"
-        at_once = 1 if spec.shape == wire.BATCH else spec.tasks
+        simultaneous_tasks = 1 if spec.shape == wire.BATCH else spec.tasks
         for name, need, limit in (("CPUs", spec.cpus, team.cpus_max), ("GPUs", spec.gpus, team.gpus_max)):
-            if limit and need * at_once > limit + 1e-9:
-                return 422, f"the job needs {need * at_once:g} {name}, team {team.name} may use {limit:g}"
+            if limit and need * simultaneous_tasks > limit + 1e-9:
+                return 422, f"the job needs {need * simultaneous_tasks:g} {name}, team {team.name} may use {limit:g}"
         types = self._known_types()
         if not types:
             return 503, "the machine types are not known yet"
         fitting = [
-            t
-            for t in types
-            if (spec.types is None or t.name in spec.types)
-            and (spec.zone is None or spec.zone in t.zones)
-            and t.cpus + 1e-9 >= spec.cpus
-            and t.gpus + 1e-9 >= spec.gpus
-            and t.ram_gb + 1e-9 >= spec.ram_gb
+            machine_type
+            for machine_type in types
+            if (spec.types is None or machine_type.name in spec.types)
+            and (spec.zone is None or spec.zone in machine_type.zones)
+            and machine_type.cpus + 1e-9 >= spec.cpus
+            and machine_type.gpus + 1e-9 >= spec.gpus
+            and machine_type.ram_gb + 1e-9 >= spec.ram_gb
         ]
         return None if fitting else (422, "a task fits no allowed machine type")
 
-    def _cannot_wait(self, spec: JobSpec) -> tuple[int, str] | None:
-        """Can what the job waits for not be promised, or never come?
+    def _conditions_refusal(self, spec: JobSpec) -> tuple[int, str] | None:
+        """Returns a refusal if the job's conditions are not supported or can never be met, otherwise None.
 
-        No guard is needed on those that it names: one that ends while this job is accepted is read by
-        the leader, which sees this job's record only after that of every job it names.
+        The jobs that it names need no guard: if one ends while this job is accepted, the leader reads that, as
+        it sees this job's record only after the record of every job that it names.
         """
         if not spec.conditional:
             return None
         if not self._conditions:
             return 422, "hold, not_before, after, at_once and limit_s are not switched on here (jobs.conditions)"
         after = spec.after or []
-        for fresh in (False, True):
-            missing = [one.job for one in after if keys.job_key(one.job) not in self._store.mirror]
-            if missing and not fresh and not self._store.sync():
+        for is_fresh in (False, True):
+            missing = [condition.job for condition in after if keys.job_key(condition.job) not in self._store.mirror]
+            if missing and not is_fresh and not self._store.sync():
                 return 503, "the state service does not answer"
         if missing:
             return 422, f"it is to start after {missing[0]}, and there is no such job"
-        for one in after:
-            reason = unsatisfiable_reason(one, self._store.mirror[keys.job_key(one.job)].value)
+        for condition in after:
+            reason = unsatisfiable_reason(condition, self._store.mirror[keys.job_key(condition.job)].value)
             if reason:
                 return 422, reason
         return None
@@ -231,7 +231,7 @@
     # ---------------------------------------------------------------- GET and abort
 
     def poll(self, job_id: str) -> Reply:
-        """The job's state; 404 only after a read that was sent after the question came."""
+        """Returns the job's state; 404 only after a read that was sent after the request came."""
         if not wire.JOB_ID.fullmatch(job_id):
             return refusal(404, "no such job")
         return self._state(job_id)
@@ -240,7 +240,7 @@
         key = keys.job_key(job_id)
         stored = self._store.mirror.get(key)
         if stored is None or stored.value["st"] == OPEN:
-            # Another node may know more: a non-final answer needs a fresh read. Final ones stay.
+            # Another node may have newer state, so a non-final answer needs a fresh read. Final states never change.
             if not self._store.sync():
                 return refusal(503, "the state service does not answer")
             stored = self._store.mirror.get(key)
@@ -251,12 +251,12 @@
             return Reply(200, JobStatus(job_id, wire.DONE, value["n"], 0))
         if value["st"] == JOB_CANCELLED:
             return Reply(200, JobStatus(job_id, wire.CANCELLED, 0, 0, why=value.get("why")))
-        done, running = self._count(job_id, value["spec"]["pieces"])
+        done, running = self._count_tasks(job_id, value["spec"]["pieces"])
         status = wire.RUNNING if running else wire.PENDING
-        self.log.debug("told %s %s, %d done: %s", job_id, status, done, self._store.describe_last_read())
+        self.log.debug("answered poll of %s: %s, %d done; %s", job_id, status, done, self._store.describe_last_read())
         return Reply(200, JobStatus(job_id, status, done, running, held=holder(value) or None))
 
-    def _count(self, job_id: str, tasks: int) -> tuple[int, int]:
+    def _count_tasks(self, job_id: str, tasks: int) -> tuple[int, int]:
         done = running = 0
         for number in range(-(-tasks // CHUNK_TASKS)):
             record = self._store.tasks_of(job_id, number)
@@ -266,24 +266,24 @@
         return done, running
 
     def cancel(self, job_id: str) -> Reply:
-        """Cancel; told to the user only when no start can be committed any more."""
+        """Cancels a job; confirmed to the user only when no start can be committed any more."""
 
         def cancelled(value: dict[str, Any]) -> dict[str, Any]:
-            # Whoever waits for the job's begin must know later whether there was one.
-            begun = {"b": 1} if self._store.tasks_of(job_id, 0) is not None else {}
-            return {**value, "st": JOB_CANCELLED, **begun}
+            # Jobs that wait for this one to start must be able to tell later whether it did.
+            started = {"b": 1} if self._store.tasks_of(job_id, 0) is not None else {}
+            return {**value, "st": JOB_CANCELLED, **started}
 
-        reply = self._change(job_id, cancelled, "cancelled") or Reply(200, JobStatus(job_id, wire.CANCELLED))
+        reply = self._change_open_job(job_id, cancelled, "cancelled") or Reply(200, JobStatus(job_id, wire.CANCELLED))
         if reply.status == 200 and reply.body.status == wire.CANCELLED:
-            # A repeat too: the first try may have been carried out and only its answer lost, or another node that
-            # told its user may have ended before it could call anybody.
+            # Also for a repeated request: the first may have been executed and only its answer lost, or the node
+            # that confirmed it may have ended before it could call any worker.
             self.on_cancelled(job_id)
         return reply
 
     def hold(self, job_id: str, action: str, body: bytes) -> Reply:
-        """Hold a job or let it go on. Told to the user only when no start can be committed any more.
+        """Holds or releases a job; a hold is confirmed to the user only when no start can be committed any more.
 
-        What was committed by then goes on: a hold stops nothing, it lets nothing more start.
+        Tasks committed before go on: a hold stops nothing, it only prevents further starts.
         """
         if not self._conditions:
             return refusal(422, "holds are not switched on here (jobs.conditions)")
@@ -295,37 +295,39 @@
                 return refusal(400, str(error))
             if not 0 < len(by) <= wire.MAX_NAME or not by.isprintable():
                 return refusal(400, f"by must be 1 to {wire.MAX_NAME} printable characters")
-        told = "held" if by else "released"
-        return self._changed(job_id, lambda value: held_value(value, by), told)
+        verb = "held" if by else "released"
+        return self._answer_change(job_id, lambda value: held_value(value, by), verb)
 
     def shrink(self, job_id: str, body: bytes) -> Reply:
-        """Let a service have fewer replicas, the first ones; the others are stopped, and freed by proof."""
+        """Reduces a service to its first replicas; the others are stopped, and freed once they are proven gone."""
         if not self._conditions:
-            return refusal(422, "services are not made smaller here (jobs.conditions)")
+            return refusal(422, "services cannot be made smaller here (jobs.conditions)")
         try:
             tasks: int = msgspec.json.decode(body, type=ShrinkRequest).tasks
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             return refusal(400, str(error))
         stored = self._store.mirror.get(keys.job_key(job_id))
         if stored is not None and stored.value["st"] == OPEN and stored.value["spec"]["shape"] != wire.SERVICE:
-            return refusal(409, f"{job_id} is no service")
-        return self._changed(
+            return refusal(409, f"{job_id} is not a service")
+        return self._answer_change(
             job_id,
             lambda value: shrunk_value(value, tasks) if value["spec"]["shape"] == wire.SERVICE else value,
             f"made smaller ({tasks})",
         )
 
-    def _changed(self, job_id: str, change: Callable[[dict[str, Any]], dict[str, Any]], told: str) -> Reply:
-        """The answer to a change that only an open job can have."""
-        reply = self._change(job_id, change, told)
+    def _answer_change(self, job_id: str, change: Callable[[dict[str, Any]], dict[str, Any]], verb: str) -> Reply:
+        """Answers a change that only an open job can undergo."""
+        reply = self._change_open_job(job_id, change, verb)
         if reply is None:
             return self._state(job_id)
         if reply.status == 200:
             return refusal(409, f"{job_id} is {reply.body.status} already")
         return reply
 
-    def _change(self, job_id: str, change: Callable[[dict[str, Any]], dict[str, Any]], told: str) -> Reply | None:
-        """Change an open job's record; its final state or a refusal, and None if the change is through."""
+    def _change_open_job(
+        self, job_id: str, change: Callable[[dict[str, Any]], dict[str, Any]], verb: str
+    ) -> Reply | None:
+        """Changes an open job's record; returns its final state or a refusal, or None if the change was committed."""
         if not wire.JOB_ID.fullmatch(job_id):
             return refusal(404, "no such job")
         key = keys.job_key(job_id)
@@ -345,11 +347,11 @@
             if changed == stored.value:
                 return None
             try:
-                self._store.txn([Guard(key, stored.stamp)], [Put(key, changed)], patience_s=PATIENCE_S)
+                self._store.txn([Guard(key, stored.stamp)], [Put(key, changed)], patience_s=MAX_BUDGET_WAIT_S)
             except Conflict:
                 continue
-            except (Unavailable, NoLease):
+            except (Unavailable, LeaseExpired):
                 break
-            self.log.info("%s %s for its user", told, job_id)
+            self.log.info("%s %s for its user", verb, job_id)
             return None
         return refusal(503, "the state service does not answer")
--- a/src/tideusher/node.py
+++ b/src/tideusher/node.py
@@ -1,4 +1,4 @@
-"""One controller: its actors, wired together."""
+"""One controller: creates its actors and connects them."""
 
 import logging
 import os
@@ -12,10 +12,10 @@
 
 from tideusher.actors.cloud import Cloud
 from tideusher.actors.election import Election
-from tideusher.actors.gateway import READ_US, Gateway
+from tideusher.actors.gateway import MAX_READ_US, Gateway
 from tideusher.actors.leader import Leader
 from tideusher.actors.peers import Peers
-from tideusher.actors.questions import Questions
+from tideusher.actors.questions import QueryService
 from tideusher.actors.store import Store
 from tideusher.actors.users import Users
 from tideusher.clock import Clock, to_s, to_us
@@ -33,17 +33,17 @@
 if TYPE_CHECKING:
     from tideusher.pbs.profile import Profile
 
-CONTACT_US = to_us(3.0)
+CONTACT_TIMEOUT_US = to_us(3.0)
 
 
 class Node:
-    """Builds and runs everything."""
+    """Builds and runs one controller."""
 
     def __init__(
         self, config: Config, policy: Policy, clock: Clock | None = None, profile: "Profile | None" = None
     ) -> None:
         level = {"error": logging.ERROR, "debug": logging.DEBUG}.get(os.environ.get("LOG_LEVEL", ""), logging.INFO)
-        time = "%(created).3f " if os.environ.get("LOG_TIME") else ""  # the platform writes its own before each line
+        time = "%(created).3f " if os.environ.get("LOG_TIME") else ""  # the platform adds its own to each line
         logging.basicConfig(stream=sys.stderr, level=level, format=f"{time}%(levelname).1s %(name)s: %(message)s")
         self.log = logging.getLogger("node")
         self._config, self._clock = config, clock or Clock()
@@ -54,29 +54,29 @@
         self.cloud = Cloud(config, self._clock, self.metrics)
         self.leader = Leader(config, policy, self._clock, self.store, self.election, self.cloud, self.metrics)
         self.own = LocalContacts(to_us(config.settings.workers.report_s))
-        self.peers = Peers(config, self._clock, self._hello, self._answer_hello, self._told)
+        self.peers = Peers(config, self._clock, self._heartbeat, self._answer_heartbeat, self._told)
         self.contacts = WorkerContacts(self.own, self.peers.is_connected)
         self.leader.set_contacts(self.contacts)
-        self.election.set_sources(self._standing, self.peers.candidates, lambda token: self.leader.tell("tick"))
-        self.store.hear_demands(self.peers.demands)
-        #: What is on a machine longer than that after its cancellation broke the rule already.
+        self.election.set_sources(self._own_candidate, self.peers.candidates, lambda token: self.leader.tell("tick"))
+        self.store.set_demand_source(self.peers.write_demands)
+        #: Cancellations are kept for twice `cancel_s`: a task still running after that broke the limit already.
         settings = config.settings
         self.cancellations = Cancellations(to_us(2 * settings.workers.cancel_s), settings.state.write_rps)
-        self.store.listen(self._note_cancelled)
+        self.store.listen(self._record_cancelled)
         self.gateway = Gateway(
             config, self._clock, self.store, self.election, self.leader, self.peers, self.own, self.cancellations
         )
-        self.leader.hear_deaf(self._deaf_zones)
+        self.leader.set_controller_only_zones(self._zones_without_reports)
         self.users = Users(config, self._clock, self.store, policy.jobs__conditions, profile, self.metrics)
         self.users.on_cancelled = lambda job_id: self.leader.tell("cancelled_here", job_id)
-        self.leader.set_reachability(self.peers.reads)
-        self.leader.hear_standings(self.peers.candidates)
-        questions = Questions(config, self.store, self.election, self.leader, self.peers)
+        self.leader.set_reachability(self.peers.reads_state)
+        self.leader.set_peer_candidates(self.peers.candidates)
+        query_service = QueryService(config, self.store, self.election, self.leader, self.peers)
         self.web = Web(
             config.bind,
             self.users,
             self.gateway,
-            questions,
+            query_service,
             self.peers,
             self._metrics_text,
             self.in_contact,
@@ -84,8 +84,8 @@
         )
 
     def run(self) -> None:
-        """Serve until killed."""
-        gevent.get_hub().NOT_ERROR += (OSError,)  # a peer's reset connection is not our error
+        """Serves until the process is killed."""
+        gevent.get_hub().NOT_ERROR += (OSError,)  # a connection reset by a peer is not logged as an error
         for part in (self.store, self.election, self.cloud, self.leader):
             part.start()
         self.peers.start(self._answer, self._answer_reports)
@@ -93,53 +93,53 @@
         self.log.info("%s in %s serves on %s", self._config.node, self._config.zone, self._config.bind)
         Event().wait()
 
-    def _hello(self) -> peer_wire.Hello:
-        """What a heartbeat says; whoever answers one says more (`_answer_hello`)."""
+    def _heartbeat(self) -> peer_wire.Hello:
+        """Builds our heartbeat; the answer to one holds more fields (`_answer_heartbeat`)."""
         node, token = self.election.leader() or ("", 0)
-        wanted = round(self.store.wanted(), 1)
-        said = peer_wire.Hello(self._config.node, self.in_contact(), node, token, wanted, self.gateway.deaf())
-        said.pages = True
-        if not self.in_contact(READ_US):
-            said.read = max(self.store.revision, self.cancellations.told)
-        return said
-
-    def _answer_hello(self, heard: peer_wire.Hello, line: int) -> tuple[peer_wire.Hello, int]:
-        said, ours = self._hello(), self._standing()
-        if heard.read:
-            # Whom the state service refuses alone learns here what its workers are to stop.
-            said.read, said.cancelled = self.store.revision, self.cancellations.since(heard.read)
-            if len(said.cancelled) >= TOLD:
-                said.read = min(said.read, said.cancelled[-1][1])
-        said.seen, line = self.own.news(line, self._clock.now_us())
-        said.behind, said.lost, said.rests = ours.behind, ours.lost, ours.rests
-        said.lag_ms = ours.lag_us // 1000
-        said.soft = self.leader.soft()
-        return said, line
-
-    def _told(self, node: str, said: peer_wire.Hello | None) -> None:
-        """Another controller spoke; None: its connection ended."""
-        if said is None:
+        demand = round(self.store.demand(), 1)
+        heartbeat = peer_wire.Hello(self._config.node, self.in_contact(), node, token, demand, self.gateway.deaf())
+        heartbeat.pages = True
+        if not self.in_contact(MAX_READ_US):
+            heartbeat.read = max(self.store.revision, self.cancellations.told)
+        return heartbeat
+
+    def _answer_heartbeat(self, received: peer_wire.Hello, line: int) -> tuple[peer_wire.Hello, int]:
+        heartbeat, ours = self._heartbeat(), self._own_candidate()
+        if received.read:
+            # A controller that alone cannot read the state service learns here which jobs its workers must stop.
+            heartbeat.read, heartbeat.cancelled = self.store.revision, self.cancellations.since(received.read)
+            if len(heartbeat.cancelled) >= TOLD:
+                heartbeat.read = min(heartbeat.read, heartbeat.cancelled[-1][1])
+        heartbeat.seen, line = self.own.news(line, self._clock.now_us())
+        heartbeat.behind, heartbeat.lost, heartbeat.rests = ours.behind, ours.lost, ours.rests
+        heartbeat.lag_ms = ours.lag_us // 1000
+        heartbeat.soft = self.leader.soft()
+        return heartbeat, line
+
+    def _told(self, node: str, heartbeat: peer_wire.Hello | None) -> None:
+        """Handles a heartbeat of another controller; None: its connection ended."""
+        if heartbeat is None:
             self.contacts.lost(node)
             return
         now_us = self._clock.now_us()
-        self.contacts.told(node, said.seen, now_us)
-        for job, stamp in said.cancelled:
+        self.contacts.told(node, heartbeat.seen, now_us)
+        for job, stamp in heartbeat.cancelled:
             if self.cancellations.learn(job, stamp, now_us):
-                self.log.info("%s tells that %s is cancelled", node, job)
+                self.log.info("%s reports that %s is cancelled", node, job)
                 self.leader.tell("cancelled_elsewhere", job)
-        if said.in_contact:
-            self.cancellations.told = max(self.cancellations.told, said.read)
-        if said.soft is not None:
-            self.leader.hear_soft(said.soft)
+        if heartbeat.in_contact:
+            self.cancellations.told = max(self.cancellations.told, heartbeat.read)
+        if heartbeat.soft is not None:
+            self.leader.receive_soft_state(heartbeat.soft)
 
-    def _note_cancelled(self, key: str, value: Any, stamp: int) -> None:
+    def _record_cancelled(self, key: str, value: Any, stamp: int) -> None:
         if key.startswith(keys.JOB_PREFIX) and value is not None and value["st"] == JOB_CANCELLED:
             self.cancellations.learn(key[len(keys.JOB_PREFIX) :], stamp, self._clock.now_us())
 
-    def _standing(self) -> Candidate:
-        """This controller as a possible leader."""
+    def _own_candidate(self) -> Candidate:
+        """Returns this controller as a candidate for the leadership."""
         node, token = self.election.leader() or ("", 0)
-        lost = token if token and self.peers.refuses(node) else 0
+        lost = token if token and self.peers.refuses_connections(node) else 0
         return Candidate(
             self._config.node,
             self._config.zone,
@@ -152,24 +152,24 @@
             reads_pages=True,
         )
 
-    def _deaf_zones(self) -> set[str]:
-        return self.peers.deaf_zones() | ({self._config.zone} if self.gateway.deaf() else set())
+    def _zones_without_reports(self) -> set[str]:
+        return self.peers.zones_without_reports() | ({self._config.zone} if self.gateway.deaf() else set())
 
-    def in_contact(self, within_us: int = CONTACT_US) -> bool:
-        """Has the state service answered us lately?"""
+    def in_contact(self, within_us: int = CONTACT_TIMEOUT_US) -> bool:
+        """True if a read that the state service answered was sent within this time."""
         contact_us = self.store.contact_us
         return contact_us is not None and self._clock.now_us() - contact_us < within_us
 
     def healthy(self) -> bool:
-        """Can this node take requests at least as well as any other?
+        """True if this node can serve requests at least as well as any other.
 
-        In an outage that all nodes share, none gains from leaving the balancer; a node that alone is
-        cut off should. One that hears no other controller either is that for all it can tell: users kept
-        coming to a node that could say nothing but 503.
+        In an outage that all nodes share, nothing is gained if one leaves the load balancer; a node that alone is cut
+        off should leave. One that is connected to no other controller either must assume that it alone is cut off:
+        otherwise users kept coming to a node that could only answer 503.
         """
         if not self.store.loaded.is_set():
             return False
-        shared = not self.peers.any_in_contact() and (self.peers.hears_any() or not self.peers.links)
+        shared = not self.peers.any_reads_state() and (self.peers.any_connected() or not self.peers.links)
         return self.in_contact() or shared
 
     def _metrics_text(self) -> bytes:
@@ -178,7 +178,7 @@
         self.metrics.gauges["read_revision"] = float(self.store.revision)
         self.metrics.gauges["read_age_seconds"] = self.store.read_age_s()
         self.metrics.gauges["in_contact"] = float(self.in_contact())
-        ours = self._standing()
+        ours = self._own_candidate()
         self.metrics.gauges["first_in_line"] = float(self.election.successor() == self._config.node)
         self.metrics.gauges["standby_follows"] = float(ours.behind is not None)
         self.metrics.gauges["standby_behind_records"] = float(ours.behind or 0)
@@ -201,7 +201,7 @@
         return None
 
     def _answer_reports(self, forwarded: list[peer_wire.ForwardReport]) -> list[peer_wire.ReportAnswer]:
-        """The leader's commands for reports that a gateway passed on; one question for all of them."""
+        """Answers reports forwarded by gateways with the leader's commands, in one request to the leader."""
         reports: list[workers.Report] = []
         answers: list[peer_wire.ReportAnswer] = []
         known = []
--- a/src/tideusher/service.py
+++ b/src/tideusher/service.py
@@ -1,7 +1,7 @@
-"""What the platform starts: one controller, with as little loaded as it needs.
+"""The entry point that the platform starts: one controller, with a minimum of imports.
 
-The command line for people (`tideusher.cli`) rests on click, whose import was a sixth of a small
-controller's start; a controller takes one file name, for which the standard library's parser does.
+The command line for operators (`tideusher.cli`) uses click, whose import took a sixth of the start of a small
+controller. A controller only takes file names, for which the standard library's parser is enough.
 """
 
 import argparse
@@ -12,7 +12,7 @@
 
 
 def load(config_path: str, properties_path: str | None) -> tuple[Config, OperatorSettings]:
-    """Both settings files; what is wrong with them is one line and exit 2."""
+    """Loads both settings files; an error in them is printed as one line, with exit status 2."""
     try:
         return load_config(config_path), load_settings(properties_path)
     except ConfigError as error:
@@ -21,19 +21,19 @@
 
 
 def serve(config_path: str, properties_path: str | None = None) -> None:
-    """Run one controller until it is killed."""
+    """Runs one controller until it is killed."""
     config, settings = load(config_path, properties_path)
-    from tideusher.node import Node  # the command line's check of settings needs none of it
+    from tideusher.node import Node  # imported late: the command line's check of settings does not need it
 
     Node(config, settings.policy, profile=settings.profile).run()
 
 
 def main(arguments: Sequence[str]) -> None:
-    """Serve as the arguments say."""
+    """Parses the arguments and runs a controller."""
     parser = argparse.ArgumentParser(
         prog="run.py",
         description="Run one tideusher controller.",
-        # To ask the terminal for its width loads three compression libraries.
+        # Determining the terminal's width would import three compression libraries.
         formatter_class=lambda prog: argparse.HelpFormatter(prog, width=100),
     )
     parser.add_argument("--config", required=True, help="the platform's TOML file")
--- a/src/tideusher/web.py
+++ b/src/tideusher/web.py
@@ -1,4 +1,4 @@
-"""The HTTP face of a node: routes requests of users, workers and health checks."""
+"""The HTTP server of a node: routes requests of users, operators, workers and health checks."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -9,13 +9,13 @@
 from tideusher.actors.gateway import Gateway
 from tideusher.actors.handler import Handler
 from tideusher.actors.peers import Peers
-from tideusher.actors.questions import Questions
+from tideusher.actors.questions import QueryService
 from tideusher.actors.replies import Reply, refusal, retry_later
 from tideusher.actors.users import Users
 from tideusher.config import split_address
 from tideusher.wire.jobs import MAX_BODY
 
-REASONS = {
+STATUS_LINES = {
     200: "200 OK",
     201: "201 Created",
     400: "400 Bad Request",
@@ -28,54 +28,54 @@
     503: "503 Service Unavailable",
 }
 
-#: Requests of users that are served at a time. Reports and health checks do not count and are never refused for them.
+#: Maximum of concurrent requests of users. Reports and health checks do not count, and are never refused for it.
 MAX_USER_REQUESTS = 256
 
 StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 
 
-class BadBody(Exception):
-    """A body that cannot be read to its end: broken framing, or a client that hung up in it."""
+class UnreadableBody(Exception):
+    """The body cannot be read to its end: its framing is broken, or the client disconnected."""
 
 
 class Web:
-    """A WSGI application. Whatever is asked, it answers at once or as soon as the answer is known."""
+    """The WSGI application of a node."""
 
     def __init__(
         self,
         bind: str,
         users: Users,
         gateway: Gateway,
-        questions: Questions,
+        questions: QueryService,
         peers: Peers,
         metrics: Callable[[], bytes],
         in_contact: Callable[[], bool],
         healthy: Callable[[], bool],
     ) -> None:
-        self._users, self._gateway, self._questions, self._peers = users, gateway, questions, peers
+        self._users, self._gateway, self._query_service, self._peers = users, gateway, questions, peers
         self._metrics, self._in_contact, self._healthy = metrics, in_contact, healthy
         self._user_requests = 0
         self._server = WSGIServer(split_address(bind), self, log=None, error_log=None, handler_class=Handler)
 
     def start(self) -> None:
-        """Begin to accept connections."""
+        """Starts to accept connections."""
         self._server.start()
 
     def __call__(self, environ: dict[str, Any], start_response: StartResponse) -> Iterable[bytes]:
         method, path = environ["REQUEST_METHOD"], environ["PATH_INFO"]
         try:
             reply = self._route(method, path, environ)
-        except BadBody as error:
-            # Not an error of this node: as one it had the user told to come back with the same body, and
-            # each client that hung up filled the log with a traceback.
+        except UnreadableBody as error:
+            # Not an error of this node: treated as one, it got a 503, for which clients retry with the same body,
+            # and each client that disconnected left a traceback in the log.
             self._users.log.debug("%s %s: %s", method, path, error)
             reply = Reply(400, {"error": str(error)}, [("Connection", "close")])
         except Exception:
             self._users.log.exception("%s %s failed", method, path)
-            reply = refusal(503, "an error of this node")
+            reply = refusal(503, "internal error of this node")
         body = reply.body if isinstance(reply.body, bytes) else msgspec.json.encode(reply.body)
         start_response(
-            REASONS[reply.status],
+            STATUS_LINES[reply.status],
             [("Content-Type", "application/json"), ("Content-Length", str(len(body))), *reply.headers],
         )
         return [body]
@@ -93,7 +93,7 @@
                 return refusal(503, "too many requests at once")
             self._user_requests += 1
             try:
-                return self._for_user(method, path, environ)
+                return self._serve_user(method, path, environ)
             finally:
                 self._user_requests -= 1
         if path in ("/teams", "/machines", "/falls", "/metrics") or path.startswith("/why/"):
@@ -102,43 +102,43 @@
             if path == "/metrics":
                 return Reply(200, self._metrics())
             if path.startswith("/why/"):
-                return self._questions.answer("why", path[len("/why/") :])
-            return self._questions.answer(path[1:])
+                return self._query_service.answer("why", path[len("/why/") :])
+            return self._query_service.answer(path[1:])
         return refusal(404, "no such path")
 
-    def _for_user(self, method: str, path: str, environ: dict[str, Any]) -> Reply:
+    def _serve_user(self, method: str, path: str, environ: dict[str, Any]) -> Reply:
         body = self._body(environ)
         if body is None:
             return refusal(400, "the body is over 64 KiB")
-        alone = not self._in_contact()
-        passed_on = self._through_peer(method, path, body) if alone else None
-        if passed_on is not None:
-            return passed_on
+        out_of_contact = not self._in_contact()
+        forwarded = self._forward_to_peer(method, path, body) if out_of_contact else None
+        if forwarded is not None:
+            return forwarded
         reply = self._users.handle(method, path, body)
-        if reply.status != 503 or alone:  # peers that had nothing to say just now are not asked again
+        if reply.status != 503 or out_of_contact:  # peers that had no answer just now are not asked again
             return reply
-        return self._through_peer(method, path, body) or reply
+        return self._forward_to_peer(method, path, body) or reply
 
-    def _through_peer(self, method: str, path: str, body: bytes) -> Reply | None:
-        """What we cannot decide, a peer that reaches the state service may: any node may answer."""
+    def _forward_to_peer(self, method: str, path: str, body: bytes) -> Reply | None:
+        """Forwards a request that we cannot answer to a peer that reaches the state service; None if none answers."""
         try:
             answer = self._peers.forward_request(method, path, body.decode())
         except UnicodeDecodeError:
             return None
-        if answer is None or answer.status not in REASONS:
+        if answer is None or answer.status not in STATUS_LINES:
             return None
         return Reply(answer.status, bytes(answer.body), retry_later(answer.status))
 
     @staticmethod
     def _body(environ: dict[str, Any]) -> bytes | None:
-        """The body, or None if it is over the limit."""
+        """Returns the body, or None if it is over the limit."""
         body = _read(environ, MAX_BODY + 1)
         return None if len(body) > MAX_BODY else body
 
 
 def _read(environ: dict[str, Any], limit: int = -1) -> bytes:
-    """Up to `limit` bytes of the body (-1: all); raises BadBody."""
+    """Reads up to `limit` bytes of the body (-1: all); raises UnreadableBody."""
     try:
         return environ["wsgi.input"].read(limit)
     except OSError as error:
-        raise BadBody(f"the body cannot be read: {error}") from None
+        raise UnreadableBody(f"the body cannot be read: {error}") from None
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -370,7 +370,7 @@
     election = Election(config, Policy(), store, clock, rng)
     election.set_sources(election._own_candidate, list, told.append)
     election._on_change(keys.LEADER, {"node": "n0", "nonce": "7"}, 41)
-    election._leads(41)
+    election._set_leading(41)
     election._on_change(keys.LEADER, {"node": "n0", "nonce": "8"}, 42)  # a former life's, or another's
     assert told == [41] and election.token == 41 and election.elected_us == clock.now_us()
 
--- a/tests/test_background_calls.py
+++ b/tests/test_background_calls.py
@@ -21,7 +21,7 @@
 from tideusher.actors import halts as halts_module
 from tideusher.actors.base import Actor
 from tideusher.actors.cloud import Cloud
-from tideusher.actors.halts import CALLED_AGAIN_US, HaltsForOthers
+from tideusher.actors.halts import REPEAT_INTERVAL_US, ForeignHaltSender
 from tideusher.actors.peers import Link
 from tideusher.config import Peer
 from tideusher.core.lead.cluster import DirectCommand
@@ -77,7 +77,7 @@
     sim.run(0.1)
     stop(leader, machine, tasks[1])
     sim.run(1.5)
-    assert made == [[tasks[0].name], [tasks[1].name]] and not leader._sending
+    assert made == [[tasks[0].name], [tasks[1].name]] and not leader._command_sender
 
 
 def test_what_is_decided_again_while_a_machine_hangs_waits_once(sim, monkeypatch):
@@ -137,7 +137,7 @@
     """Halts for others, one call at a time, and jobs with a task on each of some machines."""
     found = Workers(monkeypatch)
     found.clock = FakeClock()
-    found.halts = HaltsForOthers(found.clock, halts_module.SOCKET_SHARE_DIVISOR, spawn_logged)
+    found.halts = ForeignHaltSender(found.clock, halts_module.SOCKET_SHARE_DIVISOR, spawn_logged)
     return found
 
 
@@ -171,7 +171,7 @@
     gevent.idle()
     for _ in range(20):
         others.halts.halt(placed, 5, lambda name: name)
-        others.clock.us += CALLED_AGAIN_US
+        others.clock.us += REPEAT_INTERVAL_US
     others.open.set(None)
     gevent.idle()
     assert others.told[1:] == [("host-2", 5, [f"{placed.spec.id}/0"])]
@@ -286,7 +286,7 @@
         sim.run(5.0)
     assert any(machine.name in text for text in caplog.messages if "bad answer" in text)
     assert "Traceback" not in caplog.text and "failed" not in caplog.text
-    assert leader._engine is engine and not leader._sending
+    assert leader._engine is engine and not leader._command_sender
     assert all(task.job.live.get(task.index) is not task for task in tasks)
 
 
--- a/tests/test_leader_faults.py
+++ b/tests/test_leader_faults.py
@@ -407,7 +407,7 @@
         monkeypatch.setattr("tideusher.actors.gateway.may_answer", longer if place == "alone" else bounds.may_answer)
         monkeypatch.setattr("tideusher.actors.leader.may_answer", bounds.may_answer if place == "alone" else longer)
     else:
-        touched = Store._touched
+        touched = Store._record_contact
         monkeypatch.setattr(Store, "_touched", lambda store, sent_us: touched(store, sent_us + 2_000_000))
     with pytest.raises(AssertionError, match="ran_cancelled"):
         hidden(sim(zones="a", machines=20, tick_s=0.1), place)
@@ -508,4 +508,4 @@
         leader._act(engine)
     with caplog.at_level(logging.ERROR):
         sim.run(5.0)
-    assert "a helper of this actor failed" not in caplog.text and not leader._sending
+    assert "a helper of this actor failed" not in caplog.text and not leader._command_sender
--- a/tests/test_paused_leader.py
+++ b/tests/test_paused_leader.py
@@ -97,7 +97,7 @@
         names.append(pause_in_outage(sim, 4.0, 6.0))
         sim.run(4.0)
     assert stamps == sorted(set(stamps)) and len(stamps) >= 3
-    engines = [node.leader._terms for node in sim.nodes.values()]
+    engines = [node.leader._engine_count for node in sim.nodes.values()]
     assert sum(engines) >= 4
     work_goes_on(sim)
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -4,7 +4,7 @@
 import pytest
 
 from standins import FakeClock, make_config
-from tideusher.actors.store import Demand, Store, Throttled, TokenBucket
+from tideusher.actors.store import DemandRate, Store, Throttled, TokenBucket
 from tideusher.core.model import keys
 from tideusher.core.model.write_queue import Entry, WriteQueue
 from tideusher.metrics import Metrics
@@ -108,7 +108,7 @@
     store = Store(config, FakeClock(), Metrics())
     store._apply(keys.LEADER, {"node": leader}, 1)
     store.lead(leader == node)
-    store.hear_demands(lambda: told)
+    store.set_demand_source(lambda: told)
     store._share_writes()
     store._writes.drain()
     return 10 / store._writes.wait_s(10)
@@ -135,7 +135,7 @@
 
 def test_demand_fades():
     clock = FakeClock()
-    demand = Demand(clock)
+    demand = DemandRate(clock)
     demand.add(10)
     demand.add(10)
     assert demand.rate() == 20
@@ -160,7 +160,7 @@
 
     store._client = Service()
     store.lead(True)
-    store._writes._level = 0.0
+    store._writes._tokens = 0.0
     monkeypatch.setattr("tideusher.actors.store.gevent.sleep", sleep)
     store.txn([], [state.Put(f"t/r/{n}", {}) for n in range(12)])
     assert waits[0] == pytest.approx(12 / 27.5) and waits[1] == pytest.approx(1 / 27.5)
--- a/tests/test_way.py
+++ b/tests/test_way.py
@@ -9,9 +9,9 @@
 
 from standins import FakeClock, make_config
 from tideusher.actors.gateway import Gateway
-from tideusher.actors.handler import MAX_HEADERS, MAX_LINE, Handler
-from tideusher.actors.leader import REPORT_WAITS_US, Leader
-from tideusher.actors.peers import MAX_WAITING, Outbox, Peers
+from tideusher.actors.handler import MAX_HEADERS, MAX_LINE_BYTES, Handler
+from tideusher.actors.leader import REPORT_TIMEOUT_US, Leader
+from tideusher.actors.peers import MAX_QUEUED_BYTES, Outbox, Peers
 from tideusher.actors.users import Users
 from tideusher.config import Policy
 from tideusher.metrics import Metrics
@@ -79,7 +79,7 @@
         [b" Folded: yes"],
         [b"Content-Length : 2"],
         [b": nameless"],
-        [b"Long: " + b"x" * MAX_LINE],
+        [b"Long: " + b"x" * MAX_LINE_BYTES],
         [b"H%d: 1" % n for n in range(MAX_HEADERS + 1)],
     ],
 )
@@ -100,7 +100,7 @@
         assert outbox.put(wire.frame(wire.ReportAnswer(number, True)))
     gevent.sleep(0)
     assert len(sock.sent) == 1 and [m.id for m in frames_in(sock.sent)] == list(range(20))
-    assert outbox.put(b"x" * MAX_WAITING)
+    assert outbox.put(b"x" * MAX_QUEUED_BYTES)
     assert not outbox.put(b"x")  # at its bound; just over is refused at once, not held
     gevent.sleep(0)
     assert outbox.put(b"x")
@@ -181,8 +181,8 @@
     assert [answer is None for answer in answers] == [False, False, True, False]
     assert acted == [cluster_state] and cluster_state.answered == 3
     # Their gateways have answered alone meanwhile: a leader that read them all the same would stay late.
-    assert leader.on_reports(report, clock.now_us() - REPORT_WAITS_US - 1) == [None] * 4 and len(acted) == 1
-    assert leader.on_reports(report, clock.now_us() - REPORT_WAITS_US)[0] is not None
+    assert leader.on_reports(report, clock.now_us() - REPORT_TIMEOUT_US - 1) == [None] * 4 and len(acted) == 1
+    assert leader.on_reports(report, clock.now_us() - REPORT_TIMEOUT_US)[0] is not None
     part.token = 8
     assert leader.on_reports(report, clock.now_us()) == [None] * 4  # deposed: it answers nothing
 
