--- a/src/tideusher/cli.py
+++ b/src/tideusher/cli.py
@@ -1,10 +1,10 @@
-"""The command line for people. Imports are lazy, so that a refusal or a question answers at once."""
+"""The command line. Imports are lazy, so that errors and short queries return without delay."""
 
 from typing import Any
 
 import click
 
-from tideusher.cli_ask import JSON, NODE, ask, fail, show_explanation, show_status
+from tideusher.cli_common import JSON, NODE, call_and_show, fail, show_explanation, show_status
 from tideusher.cli_pbs import pbs
 from tideusher.cli_scale import scale_run, soak
 
@@ -34,16 +34,16 @@
 
 @main.command()
 @click.option(
-    "--port", default=8080, show_default=True, help="Where the controller will serve; the next three are ours."
+    "--port", default=8080, show_default=True, help="Port of the controller; the stand-ins use the next three."
 )
 @click.option("--settings", default="/tmp/tideusher.toml", show_default=True, help="The settings file to write.")
 def playground(port: int, settings: str) -> None:
-    """Serve a small region of stand-ins on loopback, to try tideusher without a cluster."""
-    from tideusher.playground.servers import serve as stand_in
+    """Serve a small simulated region on loopback, to try tideusher without a cluster."""
+    from tideusher.playground.servers import serve as serve_region
 
     try:
-        click.echo(f"stand-ins come up; now: python3 run.py --config {settings}")
-        stand_in(port, settings)
+        click.echo(f"starting the stand-ins; start the controller with: python3 run.py --config {settings}")
+        serve_region(port, settings)
     except OSError as error:
         fail(f"{error.filename or f'127.0.0.1:{port + 2}'}: {error.strerror}", 1)
 
@@ -52,7 +52,7 @@
 @CONFIG
 @PROPERTIES
 def check_config(config_path: str, properties_path: str | None) -> None:
-    """Check the settings files and say what they hold."""
+    """Check the settings files and print their values."""
     import msgspec
 
     from tideusher.service import load
@@ -66,7 +66,7 @@
     for field in msgspec.structs.fields(policy):
         click.echo(f"{field.encode_name} = {getattr(policy, field.name)}")
     if profile is None:
-        click.echo("PBS scripts are not taken (no pbs.* settings)")
+        click.echo("PBS scripts are not accepted (no pbs.* settings)")
         return
     click.echo(f"pbs.default_queue = {profile.default_queue}")
     click.echo(f"pbs.waive = {','.join(sorted(profile.waive))}")
@@ -91,7 +91,7 @@
 @JSON
 def submit(file: Any, node: str, as_json: bool) -> None:
     """Submit the job described by a JSON FILE (- for standard input)."""
-    ask(node, as_json, lambda client: client.submit(file.read()), show_status)
+    call_and_show(node, as_json, lambda client: client.submit(file.read()), show_status)
 
 
 @main.command()
@@ -100,7 +100,7 @@
 @JSON
 def status(job: str, node: str, as_json: bool) -> None:
     """Show a job's state."""
-    ask(node, as_json, lambda client: client.status(job), show_status)
+    call_and_show(node, as_json, lambda client: client.status(job), show_status)
 
 
 @main.command()
@@ -109,17 +109,17 @@
 @JSON
 def cancel(job: str, node: str, as_json: bool) -> None:
     """Cancel a job."""
-    ask(node, as_json, lambda client: client.cancel(job), show_status)
+    call_and_show(node, as_json, lambda client: client.cancel(job), show_status)
 
 
 @main.command()
 @click.argument("job")
-@click.option("--by", help="Who holds it, for those who ask.")
+@click.option("--by", help="Who holds the job, shown in its state.")
 @NODE
 @JSON
 def hold(job: str, by: str | None, node: str, as_json: bool) -> None:
-    """Let nothing more of a job start; what runs goes on."""
-    ask(node, as_json, lambda client: client.hold(job, by), show_status)
+    """Hold a job: no further task starts, running tasks continue."""
+    call_and_show(node, as_json, lambda client: client.hold(job, by), show_status)
 
 
 @main.command()
@@ -127,8 +127,8 @@
 @NODE
 @JSON
 def release(job: str, node: str, as_json: bool) -> None:
-    """Let a held job go on."""
-    ask(node, as_json, lambda client: client.release(job), show_status)
+    """Release a held job."""
+    call_and_show(node, as_json, lambda client: client.release(job), show_status)
 
 
 @main.command()
@@ -137,8 +137,8 @@
 @NODE
 @JSON
 def shrink(job: str, tasks: int, node: str, as_json: bool) -> None:
-    """Let a service, or a claim, have TASKS replicas and no more."""
-    ask(node, as_json, lambda client: client.shrink(job, tasks), show_status)
+    """Reduce a service, or a claim, to TASKS replicas."""
+    call_and_show(node, as_json, lambda client: client.shrink(job, tasks), show_status)
 
 
 @main.command()
@@ -146,40 +146,39 @@
 @NODE
 @JSON
 def explain(job: str, node: str, as_json: bool) -> None:
-    """Say why a job waits, and why its tasks were stopped."""
-
-    ask(node, as_json, lambda client: client.explain(job), show_explanation)
+    """Show why a job waits, and why its tasks were stopped."""
+    call_and_show(node, as_json, lambda client: client.explain(job), show_explanation)
 
 
 @main.command()
 @NODE
 @JSON
 def teams(node: str, as_json: bool) -> None:
-    """Show ratios, charges, guarantees and use of all teams."""
-    ask(node, as_json, lambda client: client.teams(), _show_table)
+    """Show ratios, charges, guarantees and usage of all teams."""
+    call_and_show(node, as_json, lambda client: client.teams(), _show_table)
 
 
 @main.command()
 @NODE
 @JSON
 def falls(node: str, as_json: bool) -> None:
-    """Show what happened when many machines fell together: evidence, what was lost, what is whole again."""
-    ask(node, as_json, lambda client: client.falls(), _show_falls)
+    """Show mass failures of machines: the evidence, the tasks lost, and which jobs have recovered."""
+    call_and_show(node, as_json, lambda client: client.falls(), _show_mass_failures)
 
 
-def _show_falls(rows: list[dict[str, Any]]) -> None:
+def _show_mass_failures(rows: list[dict[str, Any]]) -> None:
     for row in rows:
-        whole = row["whole_after_s"]
+        recovery_s = row["whole_after_s"]
         click.echo(
             f"{row['fall']}: {row['machines']} machines of {row['zone']} at {row['began_s']:.0f}, "
             f"known after {row['known_after_s']} s: {row['evidence']}"
         )
-        state = f"all whole after {whole} s" if whole is not None else f"{row['jobs_whole']} whole again"
+        state = f"all whole after {recovery_s} s" if recovery_s is not None else f"{row['jobs_whole']} whole again"
         click.echo(f"  {row['tasks_lost']} tasks of {row['jobs']} jobs lost; {state}")
         for job, count in row["most_lost"].items():
-            after_s, why = row["whole_again_after_s"].get(job), row.get("still_waiting", {}).get(job)
-            more = f"whole again after {after_s} s" if after_s is not None else why or "not whole again"
-            click.echo(f"  {job}: {count} lost, {more}")
+            recovered_s, reason = row["whole_again_after_s"].get(job), row.get("still_waiting", {}).get(job)
+            outcome = f"whole again after {recovered_s} s" if recovered_s is not None else reason or "not whole again"
+            click.echo(f"  {job}: {count} lost, {outcome}")
     if not rows:
         click.echo("none")
 
@@ -188,5 +187,5 @@
 @NODE
 @JSON
 def machines(node: str, as_json: bool) -> None:
-    """Show the fleet."""
-    ask(node, as_json, lambda client: client.machines(), _show_table)
+    """Show the machines of the fleet."""
+    call_and_show(node, as_json, lambda client: client.machines(), _show_table)
--- a/src/tideusher/cli_pbs.py
+++ b/src/tideusher/cli_pbs.py
@@ -1,4 +1,4 @@
-"""The command line for batch scripts: `tideusher pbs ...`, with the options that PBS users know."""
+"""Commands for PBS batch scripts: `tideusher pbs ...`, with the options of the PBS commands."""
 
 import sys
 from collections.abc import Callable
@@ -8,16 +8,16 @@
 
 import click
 
-from tideusher.cli_ask import JSON, NODE, ask, call, fail, show_explanation, show_status
+from tideusher.cli_common import JSON, NODE, call, call_and_show, fail, show_explanation, show_status
 
 if TYPE_CHECKING:
     from tideusher.client import Client
     from tideusher.pbs import Profile, Script
 
-#: Random refs of so many digits: two submitters do not meet.
+#: Digits of a random ref, enough that two submitters do not draw the same one.
 REF_DIGITS = 15
-#: Click leaves to us what it does not know: the options of PBS, whose letters are not ours to choose.
-PASSED_ON = {"ignore_unknown_options": True, "allow_interspersed_args": False}
+#: Click passes on the options that it does not know: those of PBS, whose letters are given.
+PASS_THROUGH = {"ignore_unknown_options": True, "allow_interspersed_args": False}
 WORDS = click.argument("words", nargs=-1, type=click.UNPROCESSED, metavar="[PBS OPTIONS] SCRIPT")
 JOBS = click.argument("jobs", nargs=-1, required=True, metavar="JOB...")
 
@@ -28,14 +28,14 @@
 
 
 def _read(words: tuple[str, ...]) -> "tuple[Script, list[str]]":
-    """The script named last, and the options in front of it; a refusal is one line and exit 2."""
+    """Reads the script, the last argument, and the options before it; a refusal is one line and exit code 2."""
     from tideusher.pbs import Refusal, read_script
     from tideusher.pbs.options import COMMAND_LINE, split_operands
 
     try:
         _, operands = split_operands(words, COMMAND_LINE)
         if len(operands) != 1:
-            fail(f"one SCRIPT (or - for standard input) stands behind the options, not {len(operands)}", 2)
+            fail(f"expected one SCRIPT (or - for standard input) after the options, not {len(operands)}", 2)
         options = list(words[: -len(operands)])
         if operands[0] == "-":
             return read_script(sys.stdin.buffer.read(), "STDIN", options), options
@@ -47,7 +47,7 @@
 
 
 def _environment(script: "Script") -> dict[str, str]:
-    """The values of the variables that the script names without one, as far as there are any here."""
+    """Returns the values of the variables that the script lists without a value, if they are set here."""
     import os
 
     from tideusher.pbs import Refusal, asked_of_environment
@@ -58,7 +58,7 @@
         fail(error, 2)
 
 
-def _job(text: str) -> tuple[str, int | None]:
+def _parse_job(text: str) -> tuple[str, int | None]:
     from tideusher.pbs.ids import BadId, parse_id
 
     try:
@@ -67,20 +67,20 @@
         fail(error, 2)
 
 
-def _whole(text: str) -> str:
-    job, index = _job(text)
+def _parse_whole_job(text: str) -> str:
+    job, index = _parse_job(text)
     if index is not None:
-        fail(f"{text}: this is done to whole jobs, not to one task of an array", 2)
+        fail(f"{text}: the command applies to whole jobs, not to one task of an array", 2)
     return job
 
 
-def _each(jobs: tuple[str, ...], node: str, as_json: bool, change: "Callable[[Client, str], Any]") -> None:
-    """Do the same to several jobs; all names are read before the first is touched."""
-    for job in [_whole(text) for text in jobs]:
-        ask(node, as_json, partial(_swapped, change, job), show_status)
+def _apply_to_each(jobs: tuple[str, ...], node: str, as_json: bool, change: "Callable[[Client, str], Any]") -> None:
+    """Applies a change to several jobs, after all names have been checked."""
+    for job in [_parse_whole_job(text) for text in jobs]:
+        call_and_show(node, as_json, partial(_apply_change, change, job), show_status)
 
 
-def _swapped(change: "Callable[[Client, str], Any]", job: str, client: "Client") -> Any:
+def _apply_change(change: "Callable[[Client, str], Any]", job: str, client: "Client") -> Any:
     return change(client, job)
 
 
@@ -88,13 +88,13 @@
     return lambda client: (client.status(job), client.explain(job))
 
 
-@pbs.command(context_settings=PASSED_ON)
-@click.option("--ref", help="The native name, to repeat a submission under; by default a new one.")
+@pbs.command(context_settings=PASS_THROUGH)
+@click.option("--ref", help="The native name of the job, to repeat a submission; by default a new one.")
 @NODE
 @JSON
 @WORDS
 def submit(words: tuple[str, ...], ref: str | None, node: str, as_json: bool) -> None:
-    """Submit a SCRIPT (- for standard input); prints the job's name."""
+    """Submit a SCRIPT (- for standard input) and print the job's name."""
     import secrets
     from datetime import datetime
 
@@ -114,37 +114,42 @@
     )
     quiet = any(option.letter == "z" for option in script.options)
 
-    def show(answer: Any) -> None:
-        for line in [*answer.waived, *answer.notes]:
+    def show(accepted: Any) -> None:
+        for line in [*accepted.waived, *accepted.notes]:
             click.echo(f"tideusher: {line}", err=True)
         if not quiet:
-            click.echo(answer.id)
+            click.echo(accepted.id)
 
     try:
-        ask(node, as_json, lambda client: client.submit_script(request), show)
+        call_and_show(node, as_json, lambda client: client.submit_script(request), show)
     except SystemExit:
-        click.echo(f"tideusher: to try again as the same job: --ref {request.ref} ({pbs_id(request.ref)})", err=True)
+        click.echo(f"tideusher: to retry as the same job: --ref {request.ref} ({pbs_id(request.ref)})", err=True)
         raise
 
 
-@pbs.command(context_settings=PASSED_ON)
-@click.option("--profile", "profile_path", type=click.Path(), help="The operators' properties; else asks the node.")
+@pbs.command(context_settings=PASS_THROUGH)
+@click.option(
+    "--profile",
+    "profile_path",
+    type=click.Path(),
+    help="The operators' properties; by default the node's.",
+)
 @click.option("--ref", default="req-000000", show_default=True, help="The job's native name.")
 @NODE
 @WORDS
 def translate(words: tuple[str, ...], profile_path: str | None, ref: str, node: str) -> None:
-    """Print the native job that a SCRIPT stands for, as POST /work takes it; refuses as a submission does."""
+    """Print the native job of a SCRIPT, as POST /work accepts it; refuses what a submission refuses."""
     from datetime import datetime
 
     import msgspec
 
     from tideusher.pbs import Refusal
-    from tideusher.pbs import translate as to_native
+    from tideusher.pbs import translate as translate_script
 
     script, _ = _read(words)
     profile = _profile(profile_path, node)
     try:
-        submission = to_native(script, profile, ref, datetime.now().astimezone(), _environment(script))
+        submission = translate_script(script, profile, ref, datetime.now().astimezone(), _environment(script))
     except Refusal as error:
         fail(error, 2)
     for line in [*submission.waived, *submission.notes]:
@@ -162,36 +167,44 @@
     except ConfigError as error:
         fail(error, 2)
     if profile is None:
-        fail(f"{path}: there are no pbs.* settings in it", 2)
+        fail(f"{path}: the file has no pbs.* settings", 2)
     return profile
 
 
-def _state(answer: Any, reasons: list[str]) -> str:
-    """The letter that PBS users look for."""
-    if answer.status in ("done", "withdrawn"):
+def _state_letter(status: Any, reasons: list[str]) -> str:
+    """Returns the PBS letter of a job's state."""
+    if status.status in ("done", "withdrawn"):
         return "F"
-    if answer.held:
+    if status.held:
         return "H"
     if any("not to start before" in reason for reason in reasons):
         return "W"
-    return "R" if answer.status == "running" else "Q"
+    return "R" if status.status == "running" else "Q"
 
 
 @pbs.command()
 @JOBS
 @NODE
 def stat(jobs: tuple[str, ...], node: str) -> None:
-    """Show jobs in a table: F finished, H held, W waits for its time, R running, Q queued."""
+    """Show jobs in a table: F finished, H held, W waits for its start time, R running, Q queued."""
     from tideusher.pbs.ids import pbs_id
 
     rows = [("Job id", "Name", "S", "Done", "Why")]
     for text in jobs:
-        job = _whole(text)
-        answer, told = call(node, _status_and_reasons(job))
-        name, tasks = told.get("name") or "-", told.get("tasks")
-        done = "-" if answer.done is None else f"{answer.done}/{tasks}" if tasks else str(answer.done)
-        why = answer.why or " ".join(told["reasons"])
-        rows.append((pbs_id(job, array=bool(told.get("array"))), name, _state(answer, told["reasons"]), done, why))
+        job = _parse_whole_job(text)
+        status, explanation = call(node, _status_and_reasons(job))
+        name, tasks = explanation.get("name") or "-", explanation.get("tasks")
+        done = "-" if status.done is None else f"{status.done}/{tasks}" if tasks else str(status.done)
+        reason = status.why or " ".join(explanation["reasons"])
+        rows.append(
+            (
+                pbs_id(job, array=bool(explanation.get("array"))),
+                name,
+                _state_letter(status, explanation["reasons"]),
+                done,
+                reason,
+            )
+        )
     widths = [max(len(row[column]) for row in rows) for column in range(4)]
     for row in rows:
         cells = [cell.ljust(width) for cell, width in zip(row, widths, strict=False)]
@@ -204,17 +217,17 @@
 @JSON
 def delete(jobs: tuple[str, ...], node: str, as_json: bool) -> None:
     """Cancel jobs."""
-    _each(jobs, node, as_json, lambda client, job: client.cancel(job))
+    _apply_to_each(jobs, node, as_json, lambda client, job: client.cancel(job))
 
 
 @pbs.command()
 @JOBS
-@click.option("--by", help="Who holds them, for those who ask.")
+@click.option("--by", help="Who holds the jobs, shown in their state.")
 @NODE
 @JSON
 def hold(jobs: tuple[str, ...], by: str | None, node: str, as_json: bool) -> None:
-    """Let nothing more of jobs start; what runs goes on."""
-    _each(jobs, node, as_json, lambda client, job: client.hold(job, by))
+    """Hold jobs: no further task starts, running tasks continue."""
+    _apply_to_each(jobs, node, as_json, lambda client, job: client.hold(job, by))
 
 
 @pbs.command()
@@ -222,8 +235,8 @@
 @NODE
 @JSON
 def release(jobs: tuple[str, ...], node: str, as_json: bool) -> None:
-    """Let held jobs go on."""
-    _each(jobs, node, as_json, lambda client, job: client.release(job))
+    """Release held jobs."""
+    _apply_to_each(jobs, node, as_json, lambda client, job: client.release(job))
 
 
 @pbs.command()
@@ -231,20 +244,20 @@
 @NODE
 @JSON
 def explain(job: str, node: str, as_json: bool) -> None:
-    """Say why a job, or a task such as 412[3], waits, and why its tasks were stopped."""
+    """Show why a job, or a task such as 412[3], waits, and why its tasks were stopped."""
     from tideusher.wire.arrays import parse_indexes
     from tideusher.wire.jobs import MAX_TASKS
 
-    name, index = _job(job)
+    name, index = _parse_job(job)
     if index is not None:
         array = call(node, lambda client: client.explain(name)).get("array")
         if not array:
-            fail(f"{job}: it is over, or no array", 1)
+            fail(f"{job}: the job has ended or is not an array", 1)
         try:
             name += f"/{parse_indexes(array, MAX_TASKS).index(index)}"
         except ValueError as error:
             fail(f"{job}: {error}", 1)
-    ask(node, as_json, lambda client: client.explain(name), show_explanation)
+    call_and_show(node, as_json, lambda client: client.explain(name), show_explanation)
 
 
 @pbs.command()
@@ -252,6 +265,6 @@
 @NODE
 def script(job: str, node: str) -> None:
     """Print a job's script as it was submitted."""
-    name = _whole(job)
+    name = _parse_whole_job(job)
     _, text = call(node, lambda client: client.script(name))
     sys.stdout.buffer.write(text)
