--- a/src/tideusher/config.py
+++ b/src/tideusher/config.py
@@ -255,7 +255,7 @@
             for part in javaproperties.parse(file):
                 if isinstance(part, javaproperties.KeyValue):
                     if part.key in lines:
-                        raise ConfigError(f"{path}:{number}: {part.key} stands in line {lines[part.key]} already")
+                        raise ConfigError(f"{path}:{number}: {part.key} is already set in line {lines[part.key]}")
                     values[part.key], lines[part.key] = part.value, number
                 number += part.source.count("\n") or 1
     except OSError as error:
--- a/src/tideusher/pbs/profile.py
+++ b/src/tideusher/pbs/profile.py
@@ -32,8 +32,8 @@
     "x": "jobs are not interactive",
     "X": "jobs are not interactive",
     "V": "the whole environment is not taken along; name the variables with -v",
-    "d": "machines have no directory of the submitting one",
-    "w": "machines have no directory of the submitting one",
+    "d": "the submitter's directories do not exist on the machines",
+    "w": "the submitter's directories do not exist on the machines",
 }
 
 
--- a/src/tideusher/pbs/translate.py
+++ b/src/tideusher/pbs/translate.py
@@ -211,7 +211,7 @@
     except (InvalidArray, BadResource) as error:
         raise option.refuse(str(error)) from None
     if option.letter == "J" and ("," in text or len(indexes) < 2):
-        raise option.refuse("-J takes one range X-Y or X-Y:Z of two numbers at least")
+        raise option.refuse("-J takes one range X-Y or X-Y:Z of at least two numbers")
     requested.array = option, indexes, text, at_once
 
 
@@ -432,7 +432,7 @@
 ) -> tuple[int, Chunk, float]:
     tasks, chunk = _parse_value(given, parse)
     if tasks > MAX_TASKS:
-        raise given[0].refuse(f"{tasks} tasks; {MAX_TASKS} are possible")
+        raise given[0].refuse(f"{tasks} tasks; at most {MAX_TASKS} are possible")
     return tasks, chunk, queue.mem_gb if chunk.mem is None else chunk.mem / GB
 
 
--- a/src/tideusher/wire/arrays.py
+++ b/src/tideusher/wire/arrays.py
@@ -35,7 +35,7 @@
             if number in part:
                 return position + part.index(number)
             position += len(part)
-        raise ValueError(f"{number} is not one of the array's numbers")
+        raise ValueError(f"{number} is not an index of the array")
 
 
 def parse_indexes(text: str, max_tasks: int) -> ArrayIndexes:
--- a/tests/test_compound_faults.py
+++ b/tests/test_compound_faults.py
@@ -272,12 +272,12 @@
     assert len(due()) == 1 and "calls reach it" in due()[0]
     peer_contact["us"] = clock.now_us()  # by a controller whose connections to the leader are cut or slow
     assert not due()
-    # Unreachable for all: silence is handled elsewhere.
+    # Unreachable for all controllers: the detection of silent machines handles that.
     peer_contact["us"], machine.last_contact_us = 0, machine.last_report_us
     assert not due()
 
 
-# Jobs are cancelled as the state service refuses the leader, followed by an outage for all controllers
+# Jobs are cancelled as the state service refuses the leader; a second later an outage begins for all controllers
 
 
 @pytest.mark.parametrize("out_after_s", [0.3, 1.0])
@@ -285,12 +285,12 @@
 def test_jobs_cancelled_as_the_leader_is_refused_stop_in_the_outage_that_follows(sim, out_after_s, cut):
     sim = sim()
     specs, old = submit_long_jobs(sim), sim.leader()
-    by = next(name for name in sim.names if name != old)
+    cancelling_node = next(name for name in sim.names if name != old)
     sim.service.refused.add(old)
     if cut:
         sim.cuts |= {frozenset((old, other)) for other in sim.names if other != old}
     for spec in specs[:3]:
-        sim.cancel(spec, by)
+        sim.cancel(spec, cancelling_node)
     sim.run(out_after_s)
     assert len(sim.rules.cancelled_us) == 3
     sim.service.outage(30.0)
@@ -455,7 +455,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_old_reports_reach_every_controller_as_each_of_ten_leaders_begins(sim, seed):
-    """Ten changes of leader in two minutes, one in an outage; copied reports are held back until a leader acted."""
+    """Ten changes of leader in two minutes, the fifth in an outage; copied reports wait until a leader acted."""
     sim = sim(seed)
     specs = submit_long_jobs(sim, 5)
     sim.for_next, sim.held_reports = 0.3, 0.1
--- a/tests/test_pbs.py
+++ b/tests/test_pbs.py
@@ -205,7 +205,7 @@
         (
             "pbs.queue.work.mem_gb = 4.0\n",
             "pbs.queue.work.mem_gb = 4.0\n" * 2,
-            ":11: pbs.queue.work.mem_gb stands in line 10",
+            ":11: pbs.queue.work.mem_gb is already set in line 10",
         ),
     ],
 )
