--- a/src/tideusher/scale/answers.py
+++ b/src/tideusher/scale/answers.py
@@ -1,6 +1,6 @@
-"""Judges what users are told: no answer may be older than one that was told before it was asked for. Pure.
+"""Checks the answers that users get: none may be staler than one received before its request was sent. Pure.
 
-Takes answers as users of any controller get them. Times do not count, only their order.
+The answers may come from any controller. Only their order matters, not their times.
 """
 
 from collections.abc import Callable
@@ -10,12 +10,12 @@
 
 WENT_BACK, FORGOTTEN, UNASKED = "went_back", "forgotten", "unasked"
 FINAL = (DONE, CANCELLED)
-Tell = Callable[[str, str, str], None]
+ReportBreak = Callable[[str, str, str], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Known:
-    """What users had been told of a job when a question was sent."""
+    """What users knew about a job when a request was sent."""
 
     accepted: bool = False
     final: str = ""
@@ -23,36 +23,36 @@
 
 
 class Answers:
-    """All that was told of all jobs. `tell` is called with the job, the rule and what was found."""
+    """Tracks the answers about all jobs. `report_break` is called with the job, the rule and the observation."""
 
-    def __init__(self, tell: Tell) -> None:
+    def __init__(self, report_break: ReportBreak) -> None:
         self._known: dict[str, Known] = {}
         self._asked_to_cancel: set[str] = set()
-        self._tell = tell
+        self._report_break = report_break
 
     def known(self, job: str) -> Known:
-        """To be taken before a question is sent, and given back with its answer."""
+        """Returns what users know of the job; call it before a request is sent and pass it in with the answer."""
         return self._known.get(job, Known())
 
     def cancels(self, job: str) -> None:
-        """A user is about to ask for the job's cancellation."""
+        """Notes that a user is about to request the cancellation of the job."""
         self._asked_to_cancel.add(job)
 
     def refused(self, job: str, before: Known, status: int, where: str) -> None:
-        """An answer that knows no such job, or refuses it."""
+        """Checks an error answer: a job that was accepted before must not be unknown or rejected."""
         if before.accepted and status in (400, 404, 422):
-            self._tell(job, FORGOTTEN, f"{where}: {status} after it was accepted")
+            self._report_break(job, FORGOTTEN, f"{where}: {status} after it was accepted")
 
     def told(self, job: str, before: Known, state: str, done: int | None, where: str) -> bool:
-        """The job's state, as an answer tells it; True if that is news. `done`: how many of its tasks, if told."""
+        """Checks the state in an answer; True if it is news. `done`: the number of finished tasks, if given."""
         if before.final and state != before.final:
-            self._tell(job, WENT_BACK, f"{where}: {state} after {before.final}")
+            self._report_break(job, WENT_BACK, f"{where}: {state} after {before.final}")
         elif state != CANCELLED and done is not None and done < before.done:
-            self._tell(job, WENT_BACK, f"{where}: {done} tasks done after {before.done}")
+            self._report_break(job, WENT_BACK, f"{where}: {done} tasks done after {before.done}")
         if state == CANCELLED and job not in self._asked_to_cancel:
-            self._tell(job, UNASKED, f"{where}: cancelled, and nobody asked for it")
-        now = self.known(job)
-        final = now.final or (state if state in FINAL else "")
-        most = now.done if state == CANCELLED else max(now.done, done or 0)
-        self._known[job] = Known(True, final, most)
-        return not now.accepted or final != now.final
+            self._report_break(job, UNASKED, f"{where}: cancelled, and nobody asked for it")
+        current = self.known(job)
+        final = current.final or (state if state in FINAL else "")
+        max_done = current.done if state == CANCELLED else max(current.done, done or 0)
+        self._known[job] = Known(True, final, max_done)
+        return not current.accepted or final != current.final
--- a/src/tideusher/scale/events.py
+++ b/src/tideusher/scale/events.py
@@ -1,6 +1,6 @@
-"""What happened on the workers and to the users, as each process writes it down: the ground truth of a run.
+"""The event logs of a run: what each process saw on the workers and at the users, as the ground truth for judging.
 
-One line of JSON an event. Times are of the machine's steady clock, which all processes share.
+A log has one event as JSON per line. Times are of the machine's monotonic clock, which all processes share.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -17,7 +17,7 @@
 
 
 class MachineUp(Event, tag="up"):
-    """A machine takes work from now on."""
+    """A machine accepts work from now on."""
 
     machine: str = msgspec.field(name="m")
     zone: str = msgspec.field(name="z")
@@ -26,13 +26,13 @@
 
 
 class MachineDown(Event, tag="down"):
-    """A machine is gone. The tasks that were there had an end of their own each."""
+    """A machine is gone. Each task that was on it has a `Left` event of its own."""
 
     machine: str = msgspec.field(name="m")
 
 
 class TaskEvent(Event):
-    """Something became of an attempt of a task."""
+    """Base of the events of an attempt of a task."""
 
     machine: str = msgspec.field(name="m")
     job: str = msgspec.field(name="j")
@@ -41,49 +41,49 @@
 
 
 class Ordered(TaskEvent, tag="ordered"):
-    """The worker was told to run it."""
+    """The worker was ordered to run the attempt."""
 
 
 class OnMachine(TaskEvent, tag="on"):
-    """It has its image: from now on it is on its machine."""
+    """The image is fetched: from now on the attempt counts as on its machine."""
 
 
 class Started(TaskEvent, tag="start"):
-    """It runs; a gang's task once all of its attempt are there."""
+    """The task runs; a task of a gang does so once all tasks of the attempt are on their machines."""
 
 
 class Left(TaskEvent, tag="left"):
-    """It exited, was killed, or its machine is gone; `cause` as in reports, or `lost`."""
+    """The task exited, was killed, or its machine is gone; `cause` is as in reports, or `lost`."""
 
     cause: str = msgspec.field(name="c", default="")
     was_on: bool = msgspec.field(name="o", default=True)
 
 
 class Accepted(Event, tag="accepted"):
-    """A user was told that the job is accepted; it was first submitted so long before."""
+    """A user received the acceptance of a job, which was first submitted at `submitted_us`."""
 
     job: str = msgspec.field(name="j")
     submitted_us: int = msgspec.field(name="b")
 
 
 class CancelTold(Event, tag="cancelled"):
-    """A user was told that the job is cancelled."""
+    """A user received the answer that the job is cancelled."""
 
     job: str = msgspec.field(name="j")
 
 
 class DoneTold(Event, tag="done"):
-    """A user was told that the job is done."""
+    """A user received the answer that the job is done."""
 
     job: str = msgspec.field(name="j")
 
 
-#: A job about which nobody is answered any more.
+#: The rule that is broken when requests about a job get no answers any more.
 UNANSWERED = "unanswered"
 
 
 class AnswerBroken(Event, tag="answer"):
-    """An answer to a user that broke a rule, or that never came."""
+    """An answer to a user broke a rule, or never came."""
 
     job: str = msgspec.field(name="j")
     rule: str = msgspec.field(name="r")
@@ -91,7 +91,7 @@
 
 
 class ZoneLost(Event, tag="zone-lost"):
-    """A zone was lost with these machines."""
+    """A zone was lost, together with these machines."""
 
     zone: str = msgspec.field(name="z")
     machines: list[str] = msgspec.field(name="m")
@@ -115,32 +115,35 @@
 
 
 class EventLog:
-    """Appends events to a file; written out as the buffer fills and at the end."""
+    """Writes events to a file through a buffer, which is flushed when it is full and at the end."""
 
     def __init__(self, path: Path) -> None:
         self._file: IO[bytes] = path.open("wb", buffering=1 << 16)
 
     def write(self, event: AnyEvent) -> None:
-        """Note one event."""
+        """Writes an event to the buffer."""
         self._file.write(_encode(event) + b"\n")
 
     def flush(self) -> None:
-        """Write out what is buffered: the process may be ended at any moment from here on."""
+        """Flushes the buffer, so that nothing is lost if the process is killed afterwards."""
         self._file.flush()
 
     def close(self) -> None:
-        """Nothing more comes."""
+        """Flushes and closes the file."""
         self._file.close()
 
 
 def is_whole(path: Path) -> bool:
-    """Does the file end with a whole event, as far as can be seen?"""
+    """True if the file is empty or ends with a newline, so that its last event appears to be complete."""
     data = path.read_bytes()
     return not data or data.endswith(b"\n")
 
 
 def read_events(paths: Iterable[Path]) -> Iterator[AnyEvent]:
-    """All events of these files in the order of their times; what a killed process left unfinished is passed over."""
+    """Returns the events of these files in order of time.
+
+    Reading of a file stops at a line that does not decode: a killed process may leave its last event incomplete.
+    """
     events: list[AnyEvent] = []
     for path in paths:
         for line in path.read_bytes().split(b"\n"):
--- a/src/tideusher/scale/gangs.py
+++ b/src/tideusher/scale/gangs.py
@@ -1,4 +1,4 @@
-"""Which gangs' attempts wait, run or are broken, told by the hosts of their tasks. Pure."""
+"""Tracks which attempts of gangs wait, run or are broken, from the messages of worker hosts. Pure."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -16,28 +16,28 @@
 
 
 class Gangs:
-    """Answers each word of a host with what all hosts are to be told, if anything."""
+    """Returns for each message of a host the message to broadcast to all hosts, if any."""
 
     def __init__(self, workload: Workload) -> None:
         self._workload = workload
         self._attempts: dict[tuple[str, int], _Attempt] = defaultdict(_Attempt)
 
-    def waits(self, told: GangWaits, now_us: int) -> GangBegins | None:
-        """A task is there: the attempt begins with its last one."""
-        attempt = self._attempts[told.job, told.attempt]
-        attempt.waiting.add(told.index)
-        if attempt.begun or len(attempt.waiting) < self._workload.spec(told.job).tasks:
+    def waits(self, message: GangWaits, now_us: int) -> GangBegins | None:
+        """Records that a task is on its machine; the attempt begins when the last of its tasks is."""
+        attempt = self._attempts[message.job, message.attempt]
+        attempt.waiting.add(message.index)
+        if attempt.begun or len(attempt.waiting) < self._workload.spec(message.job).tasks:
             return None
         attempt.begun = True
-        return GangBegins(told.job, told.attempt, now_us)
+        return GangBegins(message.job, message.attempt, now_us)
 
-    def left(self, told: GangLeft) -> GangBroken | None:
-        """A task is gone: a gang that had begun is broken by the first that was not done."""
-        attempt = self._attempts[told.job, told.attempt]
-        attempt.waiting.discard(told.index)
+    def left(self, message: GangLeft) -> GangBroken | None:
+        """Records that a task left; the first one that was not done breaks a gang that had begun."""
+        attempt = self._attempts[message.job, message.attempt]
+        attempt.waiting.discard(message.index)
         attempt.left += attempt.begun
-        broken = attempt.begun and not told.done and not attempt.broken
+        broken = attempt.begun and not message.done and not attempt.broken
         attempt.broken = attempt.broken or broken
-        if attempt.left >= self._workload.spec(told.job).tasks:
-            del self._attempts[told.job, told.attempt]
-        return GangBroken(told.job, told.attempt) if broken else None
+        if attempt.left >= self._workload.spec(message.job).tasks:
+            del self._attempts[message.job, message.attempt]
+        return GangBroken(message.job, message.attempt) if broken else None
--- a/src/tideusher/scale/judge.py
+++ b/src/tideusher/scale/judge.py
@@ -1,4 +1,4 @@
-"""Judges a run by what happened on the workers and to the users: the rules of the protocol. Pure."""
+"""Checks the events of workers and users against the rules of the protocol. Pure: no I/O and no clock."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
@@ -27,18 +27,18 @@
     answers.UNASKED,
     events.UNANSWERED,
 )
-#: What may be broken on a machine that is too busy to play the run in time.
+#: Rules with time bounds: a machine too busy to simulate the run in real time can break them.
 TIMED = frozenset({RAN_CANCELLED, LEFT_WAITING, PLACED_NOTHING, events.UNANSWERED})
-#: So many broken rules are told in full.
-TOLD = 20
-_ROUNDING = 1e-6
+#: Breaks that are described in full; further ones are only counted.
+MAX_DETAILED_BREAKS = 20
+_ROUNDING_TOLERANCE = 1e-6
 
 TaskName = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """One break of a rule."""
+    """A single violation of a rule: when it occurred and what was observed."""
 
     rule: str
     at_us: int
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What a judge found: how often each rule was looked at and broken, and the first breaks in full."""
+    """The result of judging: the number of checks, the breaks of each rule, and the first breaks in full."""
 
     checks: int = 0
     counts: Counter[str] = field(default_factory=Counter)
@@ -55,118 +55,122 @@
 
     @property
     def total(self) -> int:
-        """Breaks of all rules."""
+        """Returns the number of breaks over all rules."""
         return sum(self.counts.values())
 
 
 @dataclass(slots=True)
-class _Use:
+class _Usage:
     cpus: float = 0.0
     gpus: float = 0.0
 
 
 class Judge:
-    """Takes the events of all workers and users in the order of their times."""
+    """Checks the events of all workers and users, which must be passed in order of time."""
 
     def __init__(self, jobs: Jobs, teams: Iterable[Team], cancel_s: float) -> None:
         self._jobs, self._cancel_us = jobs, to_us(cancel_s)
         self._teams = {team.name: team for team in teams}
         self._machines: dict[str, events.MachineUp] = {}
-        self._on: dict[TaskName, dict[tuple[str, int], int]] = defaultdict(dict)  # (machine, attempt) -> since
-        self._zones: dict[str, Counter[str]] = defaultdict(Counter)  # tasks of a job by zone
-        self._use: dict[str, _Use] = defaultdict(_Use)
+        self._placements: dict[TaskName, dict[tuple[str, int], int]] = defaultdict(
+            dict
+        )  # (machine, attempt) -> arrival time
+        self._zones: dict[str, Counter[str]] = defaultdict(Counter)  # tasks on machines, by job and zone
+        self._usage: dict[str, _Usage] = defaultdict(_Usage)
         self._cancelled_us: dict[str, int] = {}
-        self._done: dict[str, set[int]] = defaultdict(set)  # tasks that have ended well
-        self._until_us = 0
+        self._done: dict[str, set[int]] = defaultdict(set)  # tasks that ended successfully, by job
+        self._last_event_us = 0
         self.verdict = Verdict()
 
     def take(self, event: events.AnyEvent) -> None:
-        """One more event."""
-        self._until_us = event.at_us
+        """Processes the next event."""
+        self._last_event_us = event.at_us
         match event:
             case events.MachineUp():
                 self._machines[event.machine] = event
             case events.OnMachine():
-                self._came(event)
+                self._task_arrived(event)
             case events.Left():
-                self._left(event)
+                self._task_left(event)
             case events.CancelTold():
                 self._cancelled_us.setdefault(event.job, event.at_us)
             case events.DoneTold():
-                self._told_done(event)
+                self._check_done(event)
             case events.AnswerBroken():
-                self._break(event.rule, event.at_us, f"{event.job}: {event.what}")
+                self._record(event.rule, event.at_us, f"{event.job}: {event.what}")
 
     def end(self) -> Verdict:
-        """Nothing more comes: what is still on a machine is judged as well."""
-        for (job, index), places in self._on.items():
-            for machine, _ in places:
-                self._check_cancelled(job, index, machine, self._until_us)
+        """Checks the tasks that are still on a machine after the last event, and returns the verdict."""
+        for (job, index), placements in self._placements.items():
+            for machine, _ in placements:
+                self._check_cancelled(job, index, machine, self._last_event_us)
         return self.verdict
 
-    # ---------------------------------------------------------------- a task comes and goes
+    # ---------------------------------------------------------------- task arrival and departure
 
-    def _came(self, event: events.OnMachine) -> None:
-        spec, places = self._jobs.spec(event.job), self._on[event.job, event.index]
+    def _task_arrived(self, event: events.OnMachine) -> None:
+        spec, placements = self._jobs.spec(event.job), self._placements[event.job, event.index]
         name = f"{event.job}/{event.index} attempt {event.attempt} on {event.machine}"
         self.verdict.checks += len(RULES)
-        if places:
-            others = ", ".join(f"attempt {attempt} on {machine}" for machine, attempt in places)
-            self._break(RAN_TWICE, event.at_us, f"{name} while {others}")
+        if placements:
+            others = ", ".join(f"attempt {attempt} on {machine}" for machine, attempt in placements)
+            self._record(RAN_TWICE, event.at_us, f"{name} while {others}")
         self._check_cancelled(event.job, event.index, event.machine, event.at_us)
         machine = self._machines.get(event.machine)
         if machine is None:
-            self._break(WRONG_PLACE, event.at_us, f"{name}, a machine that was never up")
+            self._record(WRONG_PLACE, event.at_us, f"{name}, a machine that was never up")
         else:
-            why = self._wrong_place(spec, machine)
-            if why:
-                self._break(WRONG_PLACE, event.at_us, f"{name}: {why}")
+            reason = self._placement_error(spec, machine)
+            if reason:
+                self._record(WRONG_PLACE, event.at_us, f"{name}: {reason}")
             self._zones[event.job][machine.zone] += 1
-        places[event.machine, event.attempt] = event.at_us
-        self._take_quota(spec, name, event.at_us)
+        placements[event.machine, event.attempt] = event.at_us
+        self._charge_quota(spec, name, event.at_us)
 
-    def _left(self, event: events.Left) -> None:
+    def _task_left(self, event: events.Left) -> None:
         if event.cause == CAUSE_DONE:
             spec = self._jobs.spec(event.job)
             self._done[event.job].update(range(spec.tasks) if spec.shape == GANG else (event.index,))
-        places = self._on[event.job, event.index]
-        if not event.was_on or places.pop((event.machine, event.attempt), None) is None:
+        placements = self._placements[event.job, event.index]
+        if not event.was_on or placements.pop((event.machine, event.attempt), None) is None:
             return
-        if not places:
-            del self._on[event.job, event.index]
+        if not placements:
+            del self._placements[event.job, event.index]
         spec, machine = self._jobs.spec(event.job), self._machines.get(event.machine)
-        use = self._use[spec.team]
-        use.cpus, use.gpus = use.cpus - spec.cpus, use.gpus - spec.gpus
+        usage = self._usage[spec.team]
+        usage.cpus, usage.gpus = usage.cpus - spec.cpus, usage.gpus - spec.gpus
         if machine is not None:
             self._zones[event.job][machine.zone] -= 1
         self._check_cancelled(event.job, event.index, event.machine, event.at_us)
 
     # ---------------------------------------------------------------- the rules
 
-    def _take_quota(self, spec: JobSpec, name: str, at_us: int) -> None:
-        use, team = self._use[spec.team], self._teams.get(spec.team)
-        use.cpus, use.gpus = use.cpus + spec.cpus, use.gpus + spec.gpus
+    def _charge_quota(self, spec: JobSpec, name: str, at_us: int) -> None:
+        usage, team = self._usage[spec.team], self._teams.get(spec.team)
+        usage.cpus, usage.gpus = usage.cpus + spec.cpus, usage.gpus + spec.gpus
         if team is None:
-            self._break(QUOTA, at_us, f"{name}: no such team as {spec.team}")
+            self._record(QUOTA, at_us, f"{name}: no such team as {spec.team}")
             return
-        for kind, used, limit in (("CPUs", use.cpus, team.cpus_max), ("GPUs", use.gpus, team.gpus_max)):
-            if limit and used > limit + _ROUNDING:
-                self._break(QUOTA, at_us, f"{name}: {spec.team} uses {used:g} {kind} of {limit:g}")
+        for kind, used, limit in (("CPUs", usage.cpus, team.cpus_max), ("GPUs", usage.gpus, team.gpus_max)):
+            if limit and used > limit + _ROUNDING_TOLERANCE:
+                self._record(QUOTA, at_us, f"{name}: {spec.team} uses {used:g} {kind} of {limit:g}")
 
-    def _told_done(self, event: events.DoneTold) -> None:
+    def _check_done(self, event: events.DoneTold) -> None:
         spec, done = self._jobs.spec(event.job), self._done[event.job]
         if len(done) < spec.tasks:
-            self._break(NOT_DONE, event.at_us, f"{event.job} is told done with {len(done)} of {spec.tasks} done")
+            self._record(NOT_DONE, event.at_us, f"{event.job} is told done with {len(done)} of {spec.tasks} done")
 
     def left_waiting(self, job: str) -> None:
-        """The job waited for long beside room for it, with all troubles over (`waiting`)."""
-        self._break(LEFT_WAITING, self._until_us, f"{job} waits while a machine has room for it")
+        """Records a job that waited too long after all faults ended while a machine had capacity for it."""
+        self._record(LEFT_WAITING, self._last_event_us, f"{job} waits while a machine has room for it")
 
     def placed_nothing(self, jobs: list[str]) -> None:
-        """With all troubles over nothing was started for a while, and these waited beside room."""
-        self._break(PLACED_NOTHING, self._until_us, f"nothing is started while there is room for {', '.join(jobs)}")
+        """Records that nothing was started for a while after all faults ended, though these jobs would fit."""
+        self._record(
+            PLACED_NOTHING, self._last_event_us, f"nothing is started while there is room for {', '.join(jobs)}"
+        )
 
-    def _wrong_place(self, spec: JobSpec, machine: events.MachineUp) -> str:
+    def _placement_error(self, spec: JobSpec, machine: events.MachineUp) -> str:
         if not allowed_on(spec, machine.type, machine.zone, machine.spot):
             return f"a {machine.type} {'spot' if machine.spot else 'ordinary'} machine in {machine.zone}"
         zones = self._zones[spec.id]
@@ -177,12 +181,12 @@
         return ""
 
     def _check_cancelled(self, job: str, index: int, machine: str, at_us: int) -> None:
-        told_us = self._cancelled_us.get(job)
-        if told_us is not None and at_us > told_us + self._cancel_us:
-            late_s = (at_us - told_us) / 1e6
-            self._break(RAN_CANCELLED, at_us, f"{job}/{index} on {machine} {late_s:.1f} s after its cancellation")
+        cancelled_us = self._cancelled_us.get(job)
+        if cancelled_us is not None and at_us > cancelled_us + self._cancel_us:
+            late_s = (at_us - cancelled_us) / 1e6
+            self._record(RAN_CANCELLED, at_us, f"{job}/{index} on {machine} {late_s:.1f} s after its cancellation")
 
-    def _break(self, rule: str, at_us: int, what: str) -> None:
+    def _record(self, rule: str, at_us: int, what: str) -> None:
         self.verdict.counts[rule] += 1
-        if len(self.verdict.broken) < TOLD:
+        if len(self.verdict.broken) < MAX_DETAILED_BREAKS:
             self.verdict.broken.append(Broken(rule, at_us, what))
--- a/src/tideusher/scale/report.py
+++ b/src/tideusher/scale/report.py
@@ -1,4 +1,4 @@
-"""The result of a scale run: one JSON file, and a short table for people."""
+"""The result of a scale run, as a JSON file and as a short table for people."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -14,14 +14,14 @@
 
 
 class FaultDone(msgspec.Struct):
-    """A fault as it was carried out."""
+    """A fault that was injected, or another event of the run, with its time since the start."""
 
     at_s: float
     what: str
 
 
 class WorkerCost(msgspec.Struct):
-    """The busiest real worker beside its allowance."""
+    """The resource use of the busiest real worker and the allowance it is compared with."""
 
     mean_core_share: float
     peak_memory_mb: float
@@ -32,7 +32,7 @@
 
 
 class Result(msgspec.Struct):
-    """All figures of a run. Times in seconds."""
+    """All figures of a run. Times are in seconds; the field names are the keys of result.json."""
 
     name: str
     workers: int
@@ -61,13 +61,13 @@
 
     @property
     def total_broken(self) -> int:
-        """Breaks of all rules."""
+        """Returns the number of breaks over all rules."""
         return sum(self.rules_broken.values())
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a run left behind, before it is put together."""
+    """The raw outcome of a run, from which the result is built."""
 
     verdict: Verdict
     measured: Measured
@@ -82,18 +82,18 @@
 
 
 def put_together(settings: ScaleSettings, outcome: Outcome) -> Result:
-    """One result of what each process counted."""
-    by_name = {one.name: one for one in outcome.counted}
+    """Builds the result from the outcome and the counters of each process."""
+    by_name = {counted.name: counted for counted in outcome.counted}
     state = by_name["state"].counts if "state" in by_name else {}
     users = by_name["users"].counts if "users" in by_name else {}
     reports: dict[str, int] = defaultdict(int)
     traffic: dict[str, Traffic] = defaultdict(Traffic)
-    for one in by_name.values():
-        for name, amount in one.traffic.items():
+    for counted in by_name.values():
+        for name, amount in counted.traffic.items():
             traffic[name].messages += amount.messages
             traffic[name].bytes += amount.bytes
-        if one.name.startswith("host-"):
-            for name, count in one.counts.items():
+        if counted.name.startswith("host-"):
+            for name, count in counted.counts.items():
                 reports[name] += count
     verdict, measured = outcome.verdict, outcome.measured
     writes = sum(count for name, count in state.items() if name.startswith("writes."))
@@ -129,13 +129,15 @@
     usage, fleet, allowance = roles.get("real worker"), settings.fleet, settings.allowance
     if usage is None:
         return None
-    first = fleet.hollow_processes
+    first = fleet.hollow_processes  # real workers are numbered after the hollow processes
     names = [f"host-{number}" for number in range(first, first + fleet.real_workers)]
-    sent = [sum(one.bytes for one in by_name[name].traffic.values()) for name in names if name in by_name]
+    sent_bytes = [
+        sum(traffic.bytes for traffic in by_name[name].traffic.values()) for name in names if name in by_name
+    ]
     return WorkerCost(
         usage.mean_core_share,
         usage.peak_memory_mb,
-        max(sent, default=0) / settings.duration_s,
+        max(sent_bytes, default=0) / settings.duration_s,
         allowance.core_share,
         allowance.memory_mb,
         allowance.bytes_per_s,
@@ -143,29 +145,29 @@
 
 
 def encode(result: Result) -> bytes:
-    """The result as JSON for people and programs."""
+    """Returns the result as indented JSON."""
     return msgspec.json.format(msgspec.json.encode(result), indent=2)
 
 
 def table(result: Result) -> list[str]:
-    """The short table."""
+    """Returns the lines of the table for people."""
     measured = result.measured
     lines = [
         f"{result.name}: {result.workers} workers ({result.real_workers} real), {result.controllers} controllers, "
         f"{result.duration_s:.0f} s, {result.peak_processes} processes, {result.peak_memory_mb:.0f} MB at the most",
-        f"rules broken: {_counts(result.rules_broken)} in {result.rules_checked} checks",
+        f"rules broken: {_format_counts(result.rules_broken)} in {result.rules_checked} checks",
         f"task starts: {result.task_starts}, {measured.peak_starts_per_s} in the busiest second, "
         f"{measured.peak_tasks_on_machines} tasks at once",
         f"jobs: {measured.jobs_accepted} accepted, {measured.jobs_done} done, {measured.jobs_cancelled} cancelled",
         f"state service: {result.writes} writes, {result.writes_per_start:.2f} a task start",
     ]
     if measured.submissions is not None:
-        lines.append(_times("submission", measured.submissions))
-    lines += [_times(f"wait {name}", summary) for name, summary in measured.waits.items()]
+        lines.append(_format_times("submission", measured.submissions))
+    lines += [_format_times(f"wait {name}", summary) for name, summary in measured.waits.items()]
     for loss in measured.zone_losses:
         lines.append(f"zone {loss.zone} lost at {loss.at_s:.0f} s: {loss.tasks} tasks of {loss.jobs} jobs")
         if loss.placed is not None:
-            lines.append(_times("  placed again", loss.placed) + f", {loss.not_placed} not by the end")
+            lines.append(_format_times("  placed again", loss.placed) + f", {loss.not_placed} not by the end")
     for role, usage in result.roles.items():
         lines.append(
             f"{role:16} {usage.processes:4} processes, {usage.mean_core_share:.3f} of a core (peak "
@@ -179,16 +181,18 @@
             f"({cost.allowed_bytes_per_s:g})"
         )
     return (
-        lines + [f"BROKEN {one.rule}: {one.what}" for one in result.broken] + [f"note: {one}" for one in result.notes]
+        lines
+        + [f"BROKEN {broken.rule}: {broken.what}" for broken in result.broken]
+        + [f"note: {note}" for note in result.notes]
     )
 
 
-def _counts(counts: dict[str, int]) -> str:
+def _format_counts(counts: dict[str, int]) -> str:
     return ", ".join(f"{name} {count}" for name, count in counts.items())
 
 
-def _times(what: str, summary: Summary) -> str:
+def _format_times(label: str, summary: Summary) -> str:
     return (
-        f"{what:24} p50 {summary.p50_s:.2f}, p95 {summary.p95_s:.2f}, p99 {summary.p99_s:.2f}, "
+        f"{label:24} p50 {summary.p50_s:.2f}, p95 {summary.p95_s:.2f}, p99 {summary.p99_s:.2f}, "
         f"max {summary.max_s:.2f} s of {summary.count}"
     )
--- a/src/tideusher/scale/waiting.py
+++ b/src/tideusher/scale/waiting.py
@@ -1,8 +1,8 @@
-"""Which jobs wait beside a machine that has room for them, by what happened on the workers. Pure.
+"""Finds jobs that wait although a machine has free capacity for them, from the events of the workers. Pure.
 
-Asked at moments of the quiet end of a run: a task that is found at both ends of a minute and a half was left waiting,
-and if nothing at all was started for twenty seconds while some waited, the leader places nothing. Gangs are passed
-over: whether all of one fit at once is more than a look at single machines can tell.
+The check runs at moments of the quiet end of a run: a task that waits at both ends of a minute and a half was left
+waiting, and if nothing at all was started for twenty seconds while tasks waited, the leader places nothing. Gangs are
+skipped: checking machines one by one cannot show whether all tasks of a gang fit at once.
 """
 
 from collections import Counter, defaultdict
@@ -19,15 +19,15 @@
 from tideusher.wire.cloud import MachineType
 from tideusher.wire.jobs import GANG, JobSpec
 
-#: With all faults over, a task that waits for so long beside room for it is left waiting (the users' bound), and a
-#: leader that starts nothing for so long while some do places nothing.
+#: After all faults have ended: a task that waits this long while a machine could take it is left waiting (the users'
+#: bound), and a leader that starts nothing for this long while such tasks wait places nothing.
 LEFT_WAITING_S, PLACES_NOTHING_S = 90.0, 20.0
-_ROUNDING = 1e-6
+_ROUNDING_TOLERANCE = 1e-6
 TaskName = tuple[str, int]
 
 
 @dataclass(slots=True)
-class _Free:
+class _FreeCapacity:
     cpus: float
     gpus: float
     ram: float
@@ -37,103 +37,103 @@
         self.gpus -= tasks * spec.gpus
         self.ram -= tasks * spec.ram_gb
 
-    def holds(self, spec: JobSpec) -> bool:
-        return min(self.cpus - spec.cpus, self.gpus - spec.gpus, self.ram - spec.ram_gb) >= -_ROUNDING
+    def fits(self, spec: JobSpec) -> bool:
+        return min(self.cpus - spec.cpus, self.gpus - spec.gpus, self.ram - spec.ram_gb) >= -_ROUNDING_TOLERANCE
 
 
 @dataclass(slots=True)
 class Waiting:
-    """What is on which machine, and who wants to be."""
+    """Tracks the placements of tasks, the free capacity of machines, and the jobs that still need placing."""
 
     jobs: Jobs
     kind: MachineType
     teams: Iterable[Team]
     end_us: int  # of the run
-    _looks: dict[float, set[TaskName]] = field(default_factory=dict)  # by how long before the end: who waited then
-    _ordered_us: int = 0  # when something was started last
-    _up: dict[str, events.MachineUp] = field(default_factory=dict)
-    _free: dict[str, _Free] = field(default_factory=dict)
-    _there: dict[tuple[str, int], set[tuple[str, int]]] = field(default_factory=lambda: defaultdict(set))
-    _open: dict[str, None] = field(default_factory=dict)  # accepted, and not over as far as users were told
+    _waiting_before_end: dict[float, set[TaskName]] = field(default_factory=dict)  # by seconds before the end
+    _last_order_us: int = 0  # time of the last order to start a task
+    _machines: dict[str, events.MachineUp] = field(default_factory=dict)
+    _free: dict[str, _FreeCapacity] = field(default_factory=dict)
+    _placements: dict[tuple[str, int], set[tuple[str, int]]] = field(default_factory=lambda: defaultdict(set))
+    _open_jobs: dict[str, None] = field(default_factory=dict)  # accepted, not reported as over to users
     _done: set[tuple[str, int]] = field(default_factory=set)
 
     def take(self, event: events.AnyEvent) -> None:
-        """One more event, in the order of their times."""
+        """Processes the next event; events must come in order of time."""
         for before_s in (LEFT_WAITING_S, PLACES_NOTHING_S):
-            if before_s not in self._looks and event.at_us > self.end_us - to_us(before_s):
-                self._looks[before_s] = self.beside_room()
+            if before_s not in self._waiting_before_end and event.at_us > self.end_us - to_us(before_s):
+                self._waiting_before_end[before_s] = self.beside_room()
         match event:
             case events.MachineUp():
-                self._up[event.machine] = event
-                self._free[event.machine] = _Free(self.kind.cpus, self.kind.gpus, self.kind.ram_gb)
+                self._machines[event.machine] = event
+                self._free[event.machine] = _FreeCapacity(self.kind.cpus, self.kind.gpus, self.kind.ram_gb)
             case events.MachineDown():
-                self._up.pop(event.machine, None)
+                self._machines.pop(event.machine, None)
             case events.Accepted():
-                self._open[event.job] = None
+                self._open_jobs[event.job] = None
             case events.CancelTold() | events.DoneTold():
-                self._open.pop(event.job, None)
+                self._open_jobs.pop(event.job, None)
             case events.Ordered():
-                self._order(event)
+                self._place(event)
             case events.Left():
-                self._leave(event)
+                self._remove(event)
 
     def judge(self, judge: Judge, quiet_s: float) -> None:
-        """Tell what was found, as far as the run was quiet for long enough."""
+        """Reports the findings to the judge; each check needs a quiet period longer than its bound."""
         now = self.beside_room()
         if quiet_s > LEFT_WAITING_S:
-            for job in sorted({job for job, _ in now & self._looks.get(LEFT_WAITING_S, set())}):
+            for job in sorted({job for job, _ in now & self._waiting_before_end.get(LEFT_WAITING_S, set())}):
                 judge.left_waiting(job)
-        stuck = sorted({job for job, _ in now & self._looks.get(PLACES_NOTHING_S, set())})
-        silent = self._ordered_us < self.end_us - to_us(PLACES_NOTHING_S)
-        if quiet_s > PLACES_NOTHING_S and silent and stuck:
+        stuck = sorted({job for job, _ in now & self._waiting_before_end.get(PLACES_NOTHING_S, set())})
+        no_orders = self._last_order_us < self.end_us - to_us(PLACES_NOTHING_S)
+        if quiet_s > PLACES_NOTHING_S and no_orders and stuck:
             judge.placed_nothing(stuck)
 
-    def _order(self, event: events.Ordered) -> None:
-        self._ordered_us = event.at_us
-        self._there[event.job, event.index].add((event.machine, event.attempt))
+    def _place(self, event: events.Ordered) -> None:
+        self._last_order_us = event.at_us
+        self._placements[event.job, event.index].add((event.machine, event.attempt))
         if event.machine in self._free:
             self._free[event.machine].take(self.jobs.spec(event.job), 1)
 
-    def _leave(self, event: events.Left) -> None:
-        places = self._there[event.job, event.index]
-        if (event.machine, event.attempt) in places:
-            places.remove((event.machine, event.attempt))
+    def _remove(self, event: events.Left) -> None:
+        placements = self._placements[event.job, event.index]
+        if (event.machine, event.attempt) in placements:
+            placements.remove((event.machine, event.attempt))
             if event.machine in self._free:
                 self._free[event.machine].take(self.jobs.spec(event.job), -1)
         if event.cause == "done":
             self._done.add((event.job, event.index))
 
     def beside_room(self) -> set[TaskName]:
-        """Tasks that have no place now while a machine has room for them and their team is under its limit."""
-        left = self._left_to_teams()
+        """Returns the unplaced tasks that a machine has free capacity for, and whose team is under its limit."""
+        available = self._available_to_teams()
         found: set[TaskName] = set()
-        for job in self._open:
+        for job in self._open_jobs:
             spec = self.jobs.spec(job)
-            if spec.shape == GANG or spec.team not in left or not left[spec.team].holds(spec):
+            if spec.shape == GANG or spec.team not in available or not available[spec.team].fits(spec):
                 continue
-            waiting = [i for i in range(spec.tasks) if not self._there[job, i] and (job, i) not in self._done]
-            if waiting and any(self._may_join(spec, machine) for machine in self._up):
+            waiting = [i for i in range(spec.tasks) if not self._placements[job, i] and (job, i) not in self._done]
+            if waiting and any(self._can_place(spec, machine) for machine in self._machines):
                 found.update((job, index) for index in waiting)
         return found
 
-    def _left_to_teams(self) -> dict[str, _Free]:
-        """How much more each team may use."""
-        left = {team.name: _Free(team.cpus_max or inf, team.gpus_max or inf, inf) for team in self.teams}
-        for (job, _), places in self._there.items():
+    def _available_to_teams(self) -> dict[str, _FreeCapacity]:
+        """Returns the remaining quota of each team."""
+        available = {team.name: _FreeCapacity(team.cpus_max or inf, team.gpus_max or inf, inf) for team in self.teams}
+        for (job, _), placements in self._placements.items():
             spec = self.jobs.spec(job)
-            if spec.team in left:
-                left[spec.team].take(spec, len(places))
-        return left
+            if spec.team in available:
+                available[spec.team].take(spec, len(placements))
+        return available
 
-    def _may_join(self, spec: JobSpec, name: str) -> bool:
-        machine = self._up[name]
-        if not self._free[name].holds(spec) or not allowed_on(spec, machine.type, machine.zone, machine.spot):
+    def _can_place(self, spec: JobSpec, name: str) -> bool:
+        machine = self._machines[name]
+        if not self._free[name].fits(spec) or not allowed_on(spec, machine.type, machine.zone, machine.spot):
             return False
         zones = Counter(
-            self._up[host].zone
+            self._machines[host].zone
             for index in range(spec.tasks)
-            for host, _ in self._there[spec.id, index]
-            if host in self._up
+            for host, _ in self._placements[spec.id, index]
+            if host in self._machines
         )
         if spec.one_zone and any(zone != machine.zone for zone in zones):
             return False
