--- a/src/tideusher/scale/errors.py
+++ b/src/tideusher/scale/errors.py
@@ -1,5 +1,5 @@
-"""What can go wrong with a scale run."""
+"""Errors of scale runs."""
 
 
 class ScaleError(Exception):
-    """The run cannot be made, or had to be ended early; the text is one line."""
+    """The run cannot be started, or had to be ended early; the message is one line."""
--- a/src/tideusher/scale/settings.py
+++ b/src/tideusher/scale/settings.py
@@ -1,6 +1,6 @@
-"""The settings of a scale run, a TOML file: what is run, with which load and which faults, and whether that can be.
+"""Reads and checks the settings of a scale run: a TOML file with the cluster, its load and the faults.
 
-Times are in seconds, or milliseconds where the name says so; amounts are those of the protocol.
+Times are in seconds, or in milliseconds where the name ends in `_ms`; other amounts have the units of the protocol.
 """
 
 import tomllib
@@ -13,11 +13,11 @@
 from tideusher.scale.errors import ScaleError
 from tideusher.wire.jobs import BATCH, SERVICE
 
-#: The users' bound: a few hundred processes, all roles together.
+#: The users' bound on all processes of a run, of all roles together: a few hundred.
 MAX_PROCESSES = 300
-#: Workers that one process can serve: their addresses share the last two bytes.
-MAX_WORKERS_A_PROCESS = 60_000
-#: Hosts and real workers are told apart by the second byte of their addresses.
+#: Workers that one process can serve: only the last two bytes of their addresses differ.
+MAX_WORKERS_PER_PROCESS = 60_000
+#: Hosts and real workers are distinguished by the second byte of their addresses.
 MAX_WORKER_PROCESSES = 180
 MAX_CONTROLLERS = 200
 
@@ -34,11 +34,11 @@
 
 
 class Strict(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Base of all tables: an unknown name is refused, it is likely a slip."""
+    """Base of all tables: an unknown name is rejected, since it is most likely a typing error."""
 
 
 class ControlSettings(Strict, frozen=True):
-    """The controllers: how many, and what the platform grants each of them."""
+    """The number of controllers and the resources that the platform grants each of them."""
 
     controllers: Annotated[int, msgspec.Meta(ge=1, le=MAX_CONTROLLERS)]
     restart_s: NotNegative = 3.0
@@ -47,12 +47,12 @@
     max_sockets: AtLeastOne = 2000
 
     def resources(self) -> ProcessResources:
-        """As the controllers' settings file has it."""
+        """Returns these values in the form of the controllers' settings file."""
         return ProcessResources(self.cores, self.ram_mb, self.max_sockets)
 
 
 class FleetSettings(Strict, frozen=True):
-    """The workers: how many, where, and by how many processes they are played."""
+    """The number of workers, their placement, and the number of processes that simulate them."""
 
     workers: AtLeastOne
     regions: AtLeastOne = 1
@@ -64,7 +64,7 @@
 
 
 class MachineSettings(Strict, frozen=True):
-    """What each machine has."""
+    """The resources, start-up times and price of each machine."""
 
     cpus: Positive = 12.0
     gpus: NotNegative = 2.0
@@ -76,7 +76,7 @@
 
 
 class LinkSettings(Strict, frozen=True):
-    """One-way delays between two hosts."""
+    """One-way network delays between two hosts."""
 
     same_zone_ms: NotNegative = 0.2
     cross_zone_ms: NotNegative = 0.5
@@ -84,7 +84,7 @@
 
 
 class StateLimits(Strict, frozen=True):
-    """What the stand-in of the state service takes, and how long an answer needs."""
+    """The limits of the simulated state service and the latency of its answers."""
 
     rps: Positive = 90.0
     write_rps: Positive = 25.0
@@ -94,24 +94,24 @@
     region: Count = 0
 
     def settings(self) -> StateSettings:
-        """As the controllers' settings file has it."""
+        """Returns these values in the form of the controllers' settings file."""
         return StateSettings(self.rps, self.write_rps, self.value_kb, self.txn_ops)
 
 
 class CloudLimits(Strict, frozen=True):
-    """What the stand-in of the cloud takes."""
+    """The limits of the simulated cloud, the lag of its lists and the latency of its answers."""
 
     rps: Positive = 5.0
     list_lag_s: NotNegative = 5.0
     latency_ms: NotNegative = 80.0
 
     def settings(self) -> CloudSettings:
-        """As the controllers' settings file has it."""
+        """Returns these values in the form of the controllers' settings file."""
         return CloudSettings(self.rps, self.list_lag_s)
 
 
 class WorkerTimes(Strict, frozen=True):
-    """Timings of workers, as the controllers are told."""
+    """Timings of workers, as in the settings of the controllers."""
 
     report_s: Positive = 2.5
     lease_s: Positive = 16.0
@@ -120,12 +120,12 @@
     cancel_s: Positive = 46.0
 
     def settings(self) -> WorkerSettings:
-        """As the controllers' settings file has it."""
+        """Returns these values in the form of the controllers' settings file."""
         return WorkerSettings(self.report_s, self.lease_s, self.gang_wait_s, self.gang_peer_s, self.cancel_s)
 
 
 class TeamSettings(Strict, frozen=True):
-    """So many teams with the same guarantee and limit; 0 means none."""
+    """The number of teams, and the guarantee and limit that each of them has; 0 means none."""
 
     count: AtLeastOne = 1
     cpus: NotNegative = 0.0
@@ -135,7 +135,7 @@
 
 
 class JobClass(Strict, frozen=True):
-    """Jobs of one class: their shape, how many come, and how long their tasks run."""
+    """A class of jobs: their shape and sizes, how many are submitted, and how long their tasks run."""
 
     name: Annotated[str, msgspec.Meta(min_length=1)]
     shape: Shape
@@ -152,7 +152,7 @@
     per_minute: NotNegative = 0.0
     cancelled: Share = 0.0
     one_zone: bool = False
-    in_a_zone: bool = False  # each job names a zone that it may run in
+    in_a_zone: bool = False  # each job is restricted to a zone
     spread: bool = False
     spot: bool = False
     checkpoint_s: NotNegative = 0.0
@@ -161,9 +161,9 @@
 
 #: Faults of the state service.
 STATE_FAULTS = ("state_out", "state_refuse", "state_slow", "state_late", "state_lost")
-#: Faults of machines that stay where they are.
+#: Faults of machines that do not stop the machine at once.
 MACHINE_FAULTS = ("hang", "deaf", "mute", "recall")
-#: Faults of what workers and controllers send each other.
+#: Faults of the messages between workers and controllers.
 MESSAGE_FAULTS = ("copies", "late_calls")
 
 
@@ -194,21 +194,22 @@
 
 
 class Fault(Strict, frozen=True):
-    """What goes wrong, or comes at once, at a time.
-
-    machine: `count` machines stop; rack: one rack does; zone: all of one zone do, with its controllers, and nothing
-    is to be had there for `for_s`; controller: `count` of them are killed and come back; leader: the one that leads
-    is; regions: `region` and `other` lose each other for `for_s`; replace: from then on machines stop at a rate of
-    `per_day`; burst: `count` jobs of a class are submitted.
-
-    Of controllers, `target` says which: kill, and back after `back_s`; pause: stopped by a signal for `for_s`; cut:
-    one `link` of theirs refuses connections or holds what is sent (`mode`).
-    Of the state service: state_out (503 for all), state_refuse (503 for the target), state_slow (up to `delay_s` for
-    each request), state_late (that `share` of transactions gets no answer and is carried out later), state_lost (only
-    their answers are lost).
-    Of `count` machines: hang (no report, calls wait), deaf (they hear nothing), mute (they reach no controller),
-    recall (spot ones: taken after `for_s`). Of messages: copies (of that `share` of reports one comes again later),
-    late_calls (that share of direct calls is held up).
+    """A fault, or a burst of jobs, at a time of the run.
+
+    machine: `count` machines stop; rack: the machines of a rack stop; zone: the machines and controllers of a zone
+    stop, and nothing can be rented there for `for_s`; controller: `count` controllers are killed and restarted;
+    leader: the leading controller is killed and restarted; regions: `region` and `other` are disconnected from each
+    other for `for_s`; replace: from then on machines stop at a rate of `per_day`; burst: `count` jobs of a class are
+    submitted.
+
+    Of controllers, selected by `target`: kill (restarted after `back_s`), pause (stopped by a signal for `for_s`),
+    cut (one `link` of theirs refuses connections or holds what is sent, see `mode`).
+    Of the state service: state_out (503 for all), state_refuse (503 for the target), state_slow (up to `delay_s` more
+    for each request), state_late (a `share` of transactions gets no answer and is executed later), state_lost (a
+    `share` of transactions is executed but its answers are lost).
+    Of `count` machines: hang (no reports, calls wait), deaf (they receive nothing), mute (they reach no controller),
+    recall (spot machines, which the cloud takes back after `for_s`). Of messages: copies (a `share` of reports is
+    delivered a second time later), late_calls (a `share` of direct calls is delayed).
     """
 
     at_s: NotNegative
@@ -220,7 +221,7 @@
     other: Count = 1
     per_day: Positive = 1.0
     job_class: str = msgspec.field(name="class", default="")
-    target: Target = "leader"  # at that moment; that of `number`; each of them
+    target: Target = "leader"  # the leader at that moment; controller `number`; all controllers
     number: Count = 0
     back_s: NotNegative = 1.0
     link: Link = "state"
@@ -230,11 +231,11 @@
 
 
 class UserSettings(Strict, frozen=True):
-    """What users do besides submitting, polling and cancelling once.
+    """The behaviour of users beyond submitting, polling and cancelling once.
 
-    close_looks: after that share of answers that tell of something new, the user asks at all controllers within
-    milliseconds, and repeats the submission there; hasty: that share of cancellations follows the acceptance within
-    fifty milliseconds; repeats: that share of cancellations is given at all controllers.
+    close_looks: the share of answers with news after which the user queries all controllers within milliseconds and
+    repeats the submission there; hasty: the share of cancellations that follow the acceptance within fifty
+    milliseconds; repeats: the share of cancellations that are sent to all controllers.
     """
 
     close_looks: Share = 0.0
@@ -244,7 +245,7 @@
 
 
 class Allowance(Strict, frozen=True):
-    """What a worker may spend on control."""
+    """The resources that a worker may spend on control, rather than on tasks."""
 
     core_share: Positive = 0.045
     memory_mb: Positive = 32.0
@@ -252,7 +253,7 @@
 
 
 class ScaleSettings(Strict, frozen=True):
-    """One scale run."""
+    """The settings of a scale run."""
 
     name: str
     duration_s: Positive
@@ -268,28 +269,28 @@
     workers: WorkerTimes = WorkerTimes()
     teams: TeamSettings = TeamSettings()
     users: UserSettings = UserSettings()
-    quiet_s: NotNegative = 0.0  # at the end, when all faults are over and nothing is submitted or cancelled any more
+    quiet_s: NotNegative = 0.0  # at the end: all faults are over, and no job is submitted or cancelled any more
     faults: list[Fault] = []
     allowance: Allowance = Allowance()
 
     @property
     def zones(self) -> int:
-        """In all regions."""
+        """Returns the number of zones over all regions."""
         return self.fleet.regions * self.fleet.zones_per_region
 
     @property
     def worker_processes(self) -> int:
-        """Processes that play workers: hollow ones, and real ones of one machine each."""
+        """Returns the number of processes for workers: hollow ones, and real ones with one machine each."""
         return self.fleet.hollow_processes + self.fleet.real_workers
 
     @property
     def processes(self) -> int:
-        """All that a run starts, and itself: controllers, workers, state service, links and users."""
+        """Returns the number of processes: controllers, workers, state service, links, users and the run itself."""
         return self.control.controllers + self.worker_processes + 4
 
 
 def load_scale_settings(path: str) -> ScaleSettings:
-    """Read and check a file; raises ScaleError with one line that names the file and the setting."""
+    """Reads and checks a settings file; raises ScaleError with one line that names the file and the setting."""
     try:
         raw = tomllib.loads(Path(path).read_text("utf-8"))
     except OSError as error:
@@ -306,64 +307,71 @@
 
 
 def impossible(settings: ScaleSettings) -> list[str]:
-    """Why the run cannot be made, each reason a line."""
-    return [*_bad_sizes(settings), *_bad_classes(settings), *_bad_faults(settings)]
+    """Returns the reasons why the run cannot be started, each of them one line."""
+    return [*_check_sizes(settings), *_check_classes(settings), *_check_faults(settings)]
 
 
-def _bad_sizes(settings: ScaleSettings) -> list[str]:
-    fleet, found = settings.fleet, []
+def _check_sizes(settings: ScaleSettings) -> list[str]:
+    fleet, problems = settings.fleet, []
     hollow = fleet.workers - fleet.real_workers
     if hollow < fleet.hollow_processes:
-        found.append(f"fleet.workers = {fleet.workers} leaves {hollow} for {fleet.hollow_processes} hollow processes")
-    elif hollow > fleet.hollow_processes * MAX_WORKERS_A_PROCESS:
-        found.append(f"fleet.workers = {fleet.workers}: a process serves {MAX_WORKERS_A_PROCESS} at the most")
+        problems.append(
+            f"fleet.workers = {fleet.workers} leaves {hollow} for {fleet.hollow_processes} hollow processes"
+        )
+    elif hollow > fleet.hollow_processes * MAX_WORKERS_PER_PROCESS:
+        problems.append(f"fleet.workers = {fleet.workers}: a process can serve at most {MAX_WORKERS_PER_PROCESS}")
     if settings.worker_processes > MAX_WORKER_PROCESSES:
-        found.append(f"fleet: {settings.worker_processes} processes of workers, {MAX_WORKER_PROCESSES} are possible")
+        problems.append(
+            f"fleet: {settings.worker_processes} processes for workers, at most {MAX_WORKER_PROCESSES} are possible"
+        )
     if settings.processes > MAX_PROCESSES:
-        found.append(f"the run takes {settings.processes} processes, {MAX_PROCESSES} are allowed")
+        problems.append(f"the run needs {settings.processes} processes, at most {MAX_PROCESSES} are allowed")
     if settings.state.region >= fleet.regions:
-        found.append(f"state.region = {settings.state.region}: there are {fleet.regions} regions")
+        problems.append(f"state.region = {settings.state.region}: there are {fleet.regions} regions")
     if settings.workers.cancel_s <= settings.workers.lease_s:
-        found.append("workers.cancel_s must be above workers.lease_s")
-    return found
+        problems.append("workers.cancel_s must be above workers.lease_s")
+    return problems
 
 
-def _bad_classes(settings: ScaleSettings) -> list[str]:
-    machine, teams, found = settings.machine, settings.teams, []
-    names = [one.name for one in settings.classes]
+def _check_classes(settings: ScaleSettings) -> list[str]:
+    machine, teams, problems = settings.machine, settings.teams, []
+    names = [job_class.name for job_class in settings.classes]
     if len(set(names)) < len(names):
-        found.append("classes: a name stands twice")
-    for one in settings.classes:
-        where = f"classes.{one.name}"
-        if one.weights and len(one.weights) != len(one.sizes):
-            found.append(f"{where}: {len(one.sizes)} sizes and {len(one.weights)} weights")
-        if one.cpus > machine.cpus or one.gpus > machine.gpus or one.ram_gb > machine.ram_gb:
-            found.append(f"{where}: a task fits no machine")
-        if one.cancelled and one.shape == SERVICE:
-            found.append(f"{where}: cancelled goes with batches and gangs")
-        whole = max(one.sizes) if one.shape != BATCH else 1
-        for kind, amount, limit in (("cpus", one.cpus, teams.cpus_max), ("gpus", one.gpus, teams.gpus_max)):
-            if limit and whole * amount > limit:
-                found.append(f"{where}: {whole * amount:g} {kind} at once, a team's limit is {limit:g}")
-    return found
-
-
-def _bad_faults(settings: ScaleSettings) -> list[str]:
-    names, found = {one.name for one in settings.classes}, []
+        problems.append("classes: duplicate name")
+    for job_class in settings.classes:
+        where = f"classes.{job_class.name}"
+        if job_class.weights and len(job_class.weights) != len(job_class.sizes):
+            problems.append(f"{where}: {len(job_class.sizes)} sizes and {len(job_class.weights)} weights")
+        if job_class.cpus > machine.cpus or job_class.gpus > machine.gpus or job_class.ram_gb > machine.ram_gb:
+            problems.append(f"{where}: a task fits no machine")
+        if job_class.cancelled and job_class.shape == SERVICE:
+            problems.append(f"{where}: cancelled is only possible for batches and gangs")
+        tasks_at_once = max(job_class.sizes) if job_class.shape != BATCH else 1
+        for kind, amount, limit in (
+            ("cpus", job_class.cpus, teams.cpus_max),
+            ("gpus", job_class.gpus, teams.gpus_max),
+        ):
+            if limit and tasks_at_once * amount > limit:
+                problems.append(f"{where}: {tasks_at_once * amount:g} {kind} at once, a team's limit is {limit:g}")
+    return problems
+
+
+def _check_faults(settings: ScaleSettings) -> list[str]:
+    names, problems = {job_class.name for job_class in settings.classes}, []
     for number, fault in enumerate(settings.faults):
         where = f"faults.{number} ({fault.kind})"
         if fault.at_s >= settings.duration_s:
-            found.append(f"{where}: at_s = {fault.at_s:g} is after the end")
+            problems.append(f"{where}: at_s = {fault.at_s:g} is after the end")
         if fault.kind in ("zone", "rack") and fault.zone >= settings.zones:
-            found.append(f"{where}: zone = {fault.zone}, there are {settings.zones}")
+            problems.append(f"{where}: zone = {fault.zone}, there are {settings.zones}")
         if fault.kind == "regions" and (
             max(fault.region, fault.other) >= settings.fleet.regions or fault.region == fault.other
         ):
-            found.append(f"{where}: region = {fault.region} and other = {fault.other} are no two regions")
+            problems.append(f"{where}: region = {fault.region} and other = {fault.other} are no two regions")
         if fault.kind == "controller" and fault.count > settings.control.controllers:
-            found.append(f"{where}: count = {fault.count}, there are {settings.control.controllers}")
+            problems.append(f"{where}: count = {fault.count}, there are {settings.control.controllers}")
         if fault.number >= settings.control.controllers:
-            found.append(f"{where}: number = {fault.number}, there are {settings.control.controllers} controllers")
+            problems.append(f"{where}: number = {fault.number}, there are {settings.control.controllers} controllers")
         if fault.kind == "burst" and fault.job_class not in names:
-            found.append(f"{where}: class = {fault.job_class!r} is none of the classes")
-    return found
+            problems.append(f"{where}: class = {fault.job_class!r} is none of the classes")
+    return problems
