--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,4 +1,4 @@
-"""The pure parts of scale runs: settings, workload, hollow machines, gangs, cloud, judge and measures."""
+"""The parts of scale runs that need no processes: settings, workload, hollow machines, cloud, judge and measures."""
 
 import json
 from pathlib import Path
@@ -43,7 +43,7 @@
 
 
 class FixedJobs(dict):
-    """Descriptions by id; every task runs for five seconds."""
+    """Job specs by id; every task runs for five seconds."""
 
     def spec(self, job):
         if job not in self:
@@ -66,12 +66,12 @@
     return FixedJobs({spec.id: spec for spec in specs})
 
 
-def machine_of(jobs, told):
-    return HollowMachine("m1", "127.64.0.1:1", KIND, "r0-z0", False, jobs, TIMES, told.append, 0)
+def machine_of(jobs, recorded):
+    return HollowMachine("m1", "127.64.0.1:1", KIND, "r0-z0", False, jobs, TIMES, recorded.append, 0)
 
 
 def answer(machine, now_s, *commands, token=1):
-    """Its report is answered at once with these commands."""
+    """Answers the report of the machine at once with these commands."""
     report = machine.report()
     return machine.answer(Commands(token, list(commands)), to_us(now_s), report.session, to_us(now_s))
 
@@ -83,7 +83,7 @@
 # -------------------------------------------------------------------- settings
 
 
-def test_the_files_that_come_with_it_are_possible():
+def test_settings_files_in_the_repository_are_valid():
     for name in ("small", "target"):
         settings = load_scale_settings(str(ROOT / "scale" / f"{name}.toml"))
         assert settings.name == name and settings.processes < 300
@@ -113,25 +113,25 @@
         ('name = "small"', "name = ", "not TOML"),
     ],
 )
-def test_a_setting_that_cannot_be_is_one_clear_line(tmp_path, old, new, reason):
+def test_an_invalid_setting_gives_one_line_with_file_and_reason(tmp_path, old, new, reason):
     text = SMALL.read_text()
     assert old in text
     file = tmp_path / "run.toml"
     file.write_text(text.replace(old, new, 1))
-    got = CliRunner().invoke(main, ["scale-run", str(file), "--out", str(tmp_path / "out")])
-    assert got.exit_code == 2 and not (tmp_path / "out").exists()
-    lines = got.stderr.strip().splitlines()
+    result = CliRunner().invoke(main, ["scale-run", str(file), "--out", str(tmp_path / "out")])
+    assert result.exit_code == 2 and not (tmp_path / "out").exists()
+    lines = result.stderr.strip().splitlines()
     assert len(lines) == 1 and str(file) in lines[0] and reason in lines[0]
 
 
-def test_a_directory_in_use_is_left_alone(tmp_path):
+def test_a_directory_that_is_not_empty_is_not_used(tmp_path):
     (tmp_path / "mine").write_text("mine")
-    got = CliRunner().invoke(main, ["scale-run", str(SMALL), "--out", str(tmp_path)])
-    assert got.exit_code == 2 and "is not empty" in got.stderr
+    result = CliRunner().invoke(main, ["scale-run", str(SMALL), "--out", str(tmp_path)])
+    assert result.exit_code == 2 and "is not empty" in result.stderr
     assert (tmp_path / "mine").read_text() == "mine"
 
 
-def test_controllers_get_settings_that_they_take(tmp_path):
+def test_controller_settings_files_are_valid(tmp_path):
     settings = load_scale_settings(str(SMALL))
     layout = Layout(settings)
     for number in range(settings.control.controllers):
@@ -142,7 +142,7 @@
         assert [team.name for team in config.settings.teams] == [team.name for team in teams(settings)]
 
 
-def test_addresses_are_loopback_and_all_differ():
+def test_addresses_are_loopback_and_unique():
     settings = load_scale_settings(str(ROOT / "scale" / "target.toml"))
     layout = Layout(settings)
     numbers = range(settings.control.controllers)
@@ -150,7 +150,7 @@
     listen += [layout.hub, layout.cloud, layout.state]
     listen += [layout.controller(n) for n in numbers] + [layout.controller_peers(n) for n in numbers]
     listen += [layout.worker(process, n) for process in range(15) for n in (0, 249, 250, 399)]
-    assert len(set(listen)) == len(listen) and all(one.startswith("127.") for one in listen)
+    assert len(set(listen)) == len(listen) and all(address.startswith("127.") for address in listen)
     regions = [layout.controller_place(n).region for n in numbers]
     assert [regions.count(region) for region in range(3)] == [3, 3, 2]
 
@@ -166,26 +166,26 @@
 
 def test_a_workload_is_the_same_in_every_process():
     settings = load_scale_settings(str(SMALL))
-    one, other = Workload(settings), Workload(settings)
-    assert one.submissions() == other.submissions()
-    for submission in one.submissions():
+    workload, other = Workload(settings), Workload(settings)
+    assert workload.submissions() == other.submissions()
+    for submission in workload.submissions():
         spec = other.spec(submission.job)
         check_job(spec)
-        assert spec == one.spec(submission.job)
-        lengths = [one.run_us(spec.id, index) for index in range(spec.tasks)]
+        assert spec == workload.spec(submission.job)
+        lengths = [workload.run_us(spec.id, index) for index in range(spec.tasks)]
         assert lengths == [other.run_us(spec.id, index) for index in range(spec.tasks)]
         assert len(set(lengths)) == 1 or spec.shape != "gang"
-    ids = [submission.job for submission in one.submissions()]
+    ids = [submission.job for submission in workload.submissions()]
     assert len(set(ids)) == len(ids)
-    assert sum(submission.at_us == 36 * SECOND_US for submission in one.submissions()) >= 10  # the burst
+    assert sum(submission.at_us == 36 * SECOND_US for submission in workload.submissions()) >= 10  # the burst
 
 
 # -------------------------------------------------------------------- hollow machines
 
 
 def test_a_batch_task_is_fetched_run_reported_and_forgotten():
-    told, jobs = [], jobs_of(spec_of("req-1"))
-    machine = machine_of(jobs, told)
+    recorded, jobs = [], jobs_of(spec_of("req-1"))
+    machine = machine_of(jobs, recorded)
     answer(machine, 1, run("req-1/0", 1))
     assert states(machine) == {"req-1/0": ("pulling", None)}
     machine.advance(to_us(3.0))
@@ -193,21 +193,21 @@
     answer(machine, 4)
     machine.advance(to_us(8.0))
     assert states(machine) == {"req-1/0": ("exited", "done")} and machine.changed is False
-    answer(machine, 8.5, run("req-1/0", 1))  # known in any state: no effect
+    answer(machine, 8.5, run("req-1/0", 1))  # already known, in whichever state: no effect
     assert states(machine) == {"req-1/0": ("exited", "done")}
     answer(machine, 9, forget("req-1/0", 1))
     assert states(machine) == {}
     answer(machine, 9.5, run("req-1/0", 2))  # the result is kept
     assert states(machine) == {"req-1/0": ("exited", "done")}
-    assert [type(event) for event in told[:4]] == [events.Ordered, events.OnMachine, events.Started, events.Left]
+    assert [type(event) for event in recorded[:4]] == [events.Ordered, events.OnMachine, events.Started, events.Left]
 
 
-def test_what_does_not_fit_or_is_there_already_is_refused():
+def test_tasks_that_do_not_fit_or_are_already_there_are_refused():
     jobs = jobs_of(spec_of("req-1"))
     machine = machine_of(jobs, [])
     answer(machine, 1, run("req-1/0", 1), run("req-1/0", 2), run("req-1/1", 1), run("req-1/2", 1), run("req-9/0", 1))
-    got = [(task.task, task.attempt, task.cause) for task in machine.report().tasks]
-    assert got == [
+    tasks = [(task.task, task.attempt, task.cause) for task in machine.report().tasks]
+    assert tasks == [
         ("req-1/0", 1, None),
         ("req-1/0", 2, "in_use"),
         ("req-1/1", 1, None),
@@ -216,7 +216,7 @@
     ]
 
 
-def test_an_older_token_and_an_older_session_are_dropped():
+def test_messages_with_an_older_token_or_another_session_are_dropped():
     machine = machine_of(jobs_of(spec_of("req-1")), [])
     assert answer(machine, 1, token=5)
     assert not answer(machine, 2, run("req-1/0", 1), token=4)
@@ -224,20 +224,20 @@
     assert machine.direct(DirectCommands(4, 1, []), to_us(2))[0] == 409
     assert machine.direct(DirectCommands(5, 2, []), to_us(2))[0] == 409
     assert machine.direct(DirectCommands(5, 1, []), to_us(2))[0] == 200
-    assert machine.answered_us == to_us(1)  # direct commands renew nothing
+    assert machine.answered_us == to_us(1)  # direct commands do not renew the lease
 
 
-def test_a_lease_that_ran_out_ends_all_and_begins_a_session():
-    told = []
-    machine = machine_of(jobs_of(spec_of("req-1", "service")), told)
+def test_an_expired_lease_ends_all_tasks_and_begins_a_session():
+    recorded = []
+    machine = machine_of(jobs_of(spec_of("req-1", "service")), recorded)
     answer(machine, 1, run("req-1/0", 1))
     machine.advance(to_us(9.1))
     assert machine.session == 2 and not machine.tasks
-    assert told[-1].cause == LOST and told[-1].was_on
+    assert recorded[-1].cause == LOST and recorded[-1].was_on
     assert machine.due_us() == to_us(9.1) + to_us(TIMES.lease_s) + 1
 
 
-def test_a_gang_waits_begins_together_and_breaks_together():
+def test_tasks_of_a_gang_begin_and_break_together():
     jobs = jobs_of(spec_of("req-1", "gang", 2))
     machine = machine_of(jobs, [])
     answer(machine, 1, run("req-1/0", 3), run("req-1/1", 3))
@@ -254,7 +254,7 @@
     assert set(states(machine).values()) == {("exited", "peers")}
 
 
-def test_a_gang_that_is_never_whole_gives_up():
+def test_a_gang_that_stays_incomplete_exits():
     machine = machine_of(jobs_of(spec_of("req-1", "gang", 2)), [])
     answer(machine, 1, run("req-1/0", 1))
     for second in range(2, 26, 2):
@@ -262,7 +262,7 @@
     assert states(machine) == {"req-1/0": ("exited", "incomplete")}
 
 
-def test_a_stop_lets_a_task_save_if_there_is_time():
+def test_a_stopped_task_saves_its_state_if_it_is_given_time():
     saves = {"checkpoint_s": 10.0, "save_s": 2.0, "image_gb": 0.0}
     machine = machine_of(jobs_of(spec_of("req-1", "batch", **saves)), [])
     answer(machine, 1, run("req-1/0", 1), run("req-1/1", 1))
@@ -272,11 +272,11 @@
     assert [(task.cause, task.kept) for task in machine.report().tasks] == [("stopped", True), ("stopped", None)]
 
 
-def test_gangs_are_told_when_whole_and_when_broken():
+def test_hosts_are_notified_when_a_gang_is_complete_and_when_it_breaks():
     gangs = Gangs(Workload(load_scale_settings(str(SMALL))))
     gang = next(f"req-1{n:07d}" for n in range(99) if gangs._workload.spec(f"req-1{n:07d}").tasks == 2)
     assert gangs.waits(GangWaits(gang, 0, 1), 5) is None
-    assert gangs.left(GangLeft(gang, 0, 1)) is None  # had not begun: the rest waits for a replacement
+    assert gangs.left(GangLeft(gang, 0, 1)) is None  # not begun yet: the other tasks wait for a replacement
     assert gangs.waits(GangWaits(gang, 1, 1), 6) is None
     assert gangs.waits(GangWaits(gang, 0, 1), 7) == GangBegins(gang, 1, 7)
     assert gangs.left(GangLeft(gang, 1, 1)) == GangBroken(gang, 1)
@@ -289,17 +289,17 @@
 # -------------------------------------------------------------------- cloud and state service
 
 
-def test_the_cloud_rents_up_to_its_capacity_and_never_twice_for_one_name():
+def test_the_cloud_rents_up_to_its_capacity_and_only_once_per_request_name():
     settings = load_scale_settings(str(SMALL))
     layout, clock = Layout(settings), Clock()
     cloud = Cloud(settings, layout, machine_type(settings, layout.zones), clock)
     zone = layout.zones[1]
     first = cloud.rent(RentRequest("1-1", "scale", zone, False, 50))
     assert len(first) == 12 and cloud.rent(RentRequest("1-1", "scale", zone, False, 50)) == []
-    assert cloud.charter("1-1") == [one.name for one in first]
+    assert cloud.charter("1-1") == [rental.name for rental in first]
     assert cloud.rent(RentRequest("1-2", "scale", zone, False, 1)) is None
-    for one in first:
-        one.up = True
+    for rental in first:
+        rental.up = True
     rack = cloud.in_rack(zone, 0)
     assert 0 < len(rack) < 12
     cloud.describe()
@@ -307,15 +307,15 @@
     clock.us = to_us(5)
     assert len(cloud.page("", 5).machines) == 5 and cloud.page("", 5).more
     cloud.lose_zone(zone, to_us(10))
-    assert [one.name for one in cloud.give_back([first[0].name, "host-none"])] == [first[0].name]
+    assert [rental.name for rental in cloud.give_back([first[0].name, "host-none"])] == [first[0].name]
     assert cloud.rent(RentRequest("1-3", "scale", zone, False, 1)) is None
     clock.us = to_us(16)
     assert len(cloud.rent(RentRequest("1-4", "scale", zone, False, 2))) == 1
-    addresses = [one.address for one in cloud.machines.values()]
+    addresses = [rental.address for rental in cloud.machines.values()]
     assert len(set(addresses)) == len(addresses)
 
 
-def test_the_state_service_keeps_its_limits():
+def test_the_state_service_enforces_its_limits():
     settings, clock = load_scale_settings(str(SMALL)), Clock()
     server = LimitedStateServer(clock, settings.state)
     puts = b'{"guards":[],"writes":[%s]}'
@@ -327,8 +327,8 @@
     assert txn(*[b'{"set":"a","value":1}'] * 13) == 400
     assert txn(b'{"set":"a","value":"%s"}' % (b"x" * 9000)) == 400
     assert txn(b'{"set":"a","value":1,"mooring":7}') == 400  # no such lease
-    got = [txn(b'{"set":"a","value":1}') for _ in range(30)]
-    assert got.count(429) > 0 and server.counts["refused.writes"] == got.count(429)
+    statuses = [txn(b'{"set":"a","value":1}') for _ in range(30)]
+    assert statuses.count(429) > 0 and server.counts["refused.writes"] == statuses.count(429)
     clock.us += SECOND_US
     assert txn(b'{"remove":"t/r/req-1/0"}') == 200
     assert server.counts["writes.tasks of a job"] == server.counts["writes.tasks of a job removed"] == 1
@@ -338,7 +338,7 @@
     assert [change.get("set") or change["remove"] for change in changes["log"]][-1] == "t/r/req-1/0"
 
 
-def test_changes_are_counted_by_what_they_are_for():
+def test_writes_are_counted_by_purpose():
     assert kind_of(Put("t/j/req-1", {"st": "done"})) == "job done"
     assert kind_of(Put("t/j/req-1", {"st": "open"})) == "job accepted or changed"
     assert kind_of(Delete("t/m/5-1")) == "rental removed"
@@ -352,7 +352,7 @@
     return events.MachineUp(at_us, name, zone, "scale", spot)
 
 
-def on(at_us, machine, job="req-1", index=0, attempt=1):
+def arrived(at_us, machine, job="req-1", index=0, attempt=1):
     return events.OnMachine(at_us, machine, job, index, attempt)
 
 
@@ -360,78 +360,78 @@
     return events.Left(at_us, machine, job, index, attempt, "done", True)
 
 
-def judged(specs, *what, limit=3.0):
-    one = Judge(jobs_of(*specs), [Team("red", gpus_max=limit)], 20.0)
-    for event in what:
-        one.take(event)
-    return {rule: count for rule, count in one.end().counts.items() if count}
+def judged(specs, *recorded, limit=3.0):
+    run_judge = Judge(jobs_of(*specs), [Team("red", gpus_max=limit)], 20.0)
+    for event in recorded:
+        run_judge.take(event)
+    return {rule: count for rule, count in run_judge.end().counts.items() if count}
 
 
 def test_a_run_without_a_fault_breaks_nothing():
     spec = spec_of("req-1")
-    assert judged([spec], up("m1"), up("m2"), on(1, "m1"), left(2, "m1"), on(3, "m2"), left(4, "m2")) == {}
+    assert judged([spec], up("m1"), up("m2"), arrived(1, "m1"), left(2, "m1"), arrived(3, "m2"), left(4, "m2")) == {}
 
 
-def test_the_judge_finds_a_planted_second_run():
+def test_the_judge_finds_a_task_that_runs_twice():
     spec = spec_of("req-1")
-    assert judged([spec], up("m1"), up("m2"), on(1, "m1"), on(2, "m2", attempt=2)) == {judge.RAN_TWICE: 1}
+    assert judged([spec], up("m1"), up("m2"), arrived(1, "m1"), arrived(2, "m2", attempt=2)) == {judge.RAN_TWICE: 1}
 
 
-def test_the_judge_finds_a_planted_use_over_the_limit():
+def test_the_judge_finds_usage_over_a_quota():
     spec = spec_of("req-1", tasks=4)
-    what = [up("m1")] + [on(n, "m1", index=n) for n in range(4)]
-    assert judged([spec], *what) == {judge.QUOTA: 1}
-    assert judged([spec], *what[:4], left(3, "m1", index=0), on(4, "m1", index=3)) == {}
+    recorded = [up("m1")] + [arrived(n, "m1", index=n) for n in range(4)]
+    assert judged([spec], *recorded) == {judge.QUOTA: 1}
+    assert judged([spec], *recorded[:4], left(3, "m1", index=0), arrived(4, "m1", index=3)) == {}
 
 
 @pytest.mark.parametrize(
-    "more, what",
+    "spec_fields, recorded",
     [
-        ({"spot": False}, [up("m1", spot=True), on(1, "m1")]),
-        ({"zone": "b"}, [up("m1"), on(1, "m1")]),
-        ({"types": ["other"]}, [up("m1"), on(1, "m1")]),
-        ({"one_zone": True}, [up("m1"), up("m2", "b"), on(1, "m1"), on(2, "m2", index=1)]),
-        ({"spread": True, "tasks": 2}, [up("m1"), on(1, "m1"), on(2, "m1", index=1)]),
-        ({}, [on(1, "never-up")]),
+        ({"spot": False}, [up("m1", spot=True), arrived(1, "m1")]),
+        ({"zone": "b"}, [up("m1"), arrived(1, "m1")]),
+        ({"types": ["other"]}, [up("m1"), arrived(1, "m1")]),
+        ({"one_zone": True}, [up("m1"), up("m2", "b"), arrived(1, "m1"), arrived(2, "m2", index=1)]),
+        ({"spread": True, "tasks": 2}, [up("m1"), arrived(1, "m1"), arrived(2, "m1", index=1)]),
+        ({}, [arrived(1, "never-up")]),
     ],
 )
-def test_the_judge_finds_planted_wrong_places(more, what):
-    tasks = more.pop("tasks", 4)
-    assert judged([spec_of("req-1", tasks=tasks, **more)], *what) == {judge.WRONG_PLACE: 1}
+def test_the_judge_finds_tasks_on_machines_that_they_may_not_use(spec_fields, recorded):
+    tasks = spec_fields.pop("tasks", 4)
+    assert judged([spec_of("req-1", tasks=tasks, **spec_fields)], *recorded) == {judge.WRONG_PLACE: 1}
 
 
 @pytest.mark.parametrize(
-    "what",
+    "recorded",
     [
-        [on(1, "m1"), events.CancelTold(10, "req-1"), left(to_us(20) + 11, "m1")],
-        [events.CancelTold(10, "req-1"), on(to_us(20) + 11, "m1"), left(to_us(20) + 12, "m1", attempt=9)],
-        [on(1, "m1"), events.CancelTold(10, "req-1"), up("m2", at_us=to_us(21))],  # never seen to leave
+        [arrived(1, "m1"), events.CancelTold(10, "req-1"), left(to_us(20) + 11, "m1")],
+        [events.CancelTold(10, "req-1"), arrived(to_us(20) + 11, "m1"), left(to_us(20) + 12, "m1", attempt=9)],
+        [arrived(1, "m1"), events.CancelTold(10, "req-1"), up("m2", at_us=to_us(21))],  # no event that it left
     ],
 )
-def test_the_judge_finds_what_outlives_its_cancellation(what):
-    found = judged([spec_of("req-1")], up("m1"), *what)
+def test_the_judge_finds_tasks_that_outlive_their_cancellation(recorded):
+    found = judged([spec_of("req-1")], up("m1"), *recorded)
     assert set(found) == {judge.RAN_CANCELLED}
 
 
-def test_what_leaves_in_time_after_a_cancellation_is_no_fault():
-    what = [up("m1"), on(1, "m1"), events.CancelTold(10, "req-1"), left(to_us(20), "m1")]
-    assert judged([spec_of("req-1")], *what) == {}
+def test_a_task_that_leaves_in_time_after_its_cancellation_breaks_no_rule():
+    recorded = [up("m1"), arrived(1, "m1"), events.CancelTold(10, "req-1"), left(to_us(20), "m1")]
+    assert judged([spec_of("req-1")], *recorded) == {}
 
 
-def test_events_come_back_in_their_order(tmp_path):
+def test_events_are_read_in_order_of_time_without_an_incomplete_last_one(tmp_path):
     log = events.EventLog(tmp_path / "events-1.jsonl")
-    log.write(on(5, "m1"))
+    log.write(arrived(5, "m1"))
     log.write(up("m1"))
     log.close()
     with (tmp_path / "events-1.jsonl").open("ab") as file:
-        file.write(b'{"k":"on","t":6')  # its process was killed here
-    assert list(events.read_events([tmp_path / "events-1.jsonl"])) == [up("m1"), on(5, "m1")]
+        file.write(b'{"k":"on","t":6')  # the process was killed while writing
+    assert list(events.read_events([tmp_path / "events-1.jsonl"])) == [up("m1"), arrived(5, "m1")]
 
 
 # -------------------------------------------------------------------- measures
 
 
-def test_waits_and_what_a_lost_zone_takes():
+def test_waits_and_recovery_after_the_loss_of_a_zone():
     workload = Workload(load_scale_settings(str(SMALL)))
     job = next(f"req-2{n:07d}" for n in range(99) if workload.spec(f"req-2{n:07d}").tasks == 4)
     measures = Measures(workload, 0)
@@ -457,7 +457,7 @@
     assert measures.result().zone_losses[0].not_placed == 0
 
 
-def test_every_role_of_a_run_has_its_line():
+def test_result_and_table_contain_the_figures_of_a_run():
     settings = load_scale_settings(str(SMALL))
     verdict = Verdict(4)
     verdict.counts[judge.QUOTA] = 1
@@ -482,6 +482,6 @@
     assert json.loads(report.encode(result))["rules_broken"]["quota"] == 1
 
 
-def test_settings_name_the_file(tmp_path):
+def test_a_missing_settings_file_is_named_in_the_error(tmp_path):
     with pytest.raises(ScaleError, match="none.toml: No such file"):
         load_scale_settings(str(tmp_path / "none.toml"))
