--- a/src/tideusher/scale/__init__.py
+++ b/src/tideusher/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale runs: real controllers beside hollow workers on one machine. Nothing of a controller imports this."""
+"""Scale runs: real controllers with simulated (hollow) workers on one machine. No controller module imports this."""
--- a/src/tideusher/scale/control_config.py
+++ b/src/tideusher/scale/control_config.py
@@ -1,4 +1,4 @@
-"""The settings files of a scale run's controllers, as the platform would write them."""
+"""Generates the configuration files of a scale run's controllers, as the platform would write them."""
 
 from typing import Any
 
@@ -11,13 +11,13 @@
 
 
 def teams(settings: ScaleSettings) -> list[Team]:
-    """All teams, with the same guarantee and limit each."""
-    one = settings.teams
-    return [Team(team_name(n), one.cpus, one.cpus_max, one.gpus, one.gpus_max) for n in range(one.count)]
+    """Returns all teams, each with the same guarantee and limit."""
+    team = settings.teams
+    return [Team(team_name(n), team.cpus, team.cpus_max, team.gpus, team.gpus_max) for n in range(team.count)]
 
 
 def controller_config(settings: ScaleSettings, layout: Layout, number: int) -> str:
-    """The TOML file of one controller."""
+    """Returns the TOML configuration of a controller."""
     count = settings.control.controllers
     peers = [
         {
--- a/src/tideusher/scale/coordinator.py
+++ b/src/tideusher/scale/coordinator.py
@@ -1,4 +1,4 @@
-"""Runs a scale run: starts its processes, rents and stops machines, brings about the faults, and judges it all."""
+"""Coordinates a scale run: starts its processes, serves the simulated cloud, injects faults, evaluates the run."""
 
 import random
 import sys
@@ -52,26 +52,26 @@
 _READY_S, _FINISH_S, _STOP_S = 60.0, 30.0, 10.0
 _SAMPLE_S, _PROGRESS_S = 1.0, 5.0
 _MB = 1e6
-#: The users' bound.
+#: Bound set by the users: the largest share of the machine's memory that the run's processes may hold.
 MEMORY_SHARE = 0.5
 REAL_WORKER, HOLLOW_WORKERS, CONTROLLER = "real worker", "hollow workers", "controller"
 
 
 class ScaleRun:
-    """One run, from its first process to its result."""
+    """A scale run, from the start of its first process to its result."""
 
     def __init__(self, settings: ScaleSettings, path: Path, directory: Path, tree: Path | None = None) -> None:
         self._settings, self._path, self._directory, self._tree = settings, path, directory, tree
         self._clock, self._layout, self._workload = Clock(), Layout(settings), Workload(settings)
         self._rng = random.Random(f"{settings.seed}/boots")
         self._processes = Processes(directory)
-        self._hub = Hub(self._layout.hub, self._said)
+        self._hub = Hub(self._layout.hub, self._handle_message)
         self._gangs = Gangs(self._workload)
         self._kind = machine_type(settings, self._layout.zones)
         self._cloud = Cloud(settings, self._layout, self._kind, self._clock)
         self._log = events.EventLog(directory / "events-run.jsonl")
-        self._orders: dict[int, AsyncResult] = {}
-        self._stopping: dict[str, AsyncResult] = {}  # machines that were told to stop
+        self._stop_orders: dict[int, AsyncResult] = {}
+        self._stops_by_machine: dict[str, AsyncResult] = {}  # set when the stop is acknowledged
         self._order_numbers = count(1)
         self._leader = ""
         self._began_us = 0
@@ -79,7 +79,7 @@
         self._notes: list[str] = []
         self._counts: Counter[str] = Counter()
         self._usage: dict[str, Usage] = {}
-        self._each: dict[str, ProcessUsage] = {}
+        self._process_usage: dict[str, ProcessUsage] = {}
 
     def _stage(self) -> Stage:
         return Stage(
@@ -91,27 +91,27 @@
             self._log,
             self._at_s,
             self._clock.now_us,
-            self._leader_number,
+            self._leader_index,
             self._stop,
             self._start_controller,
         )
 
-    def _leader_number(self) -> int | None:
+    def _leader_index(self) -> int | None:
         return int(self._leader[1:]) if self._leader else None
 
     def run(self) -> report.Result:
-        """Play the run and judge it. Raises ScaleError if it cannot be made; all processes are ended in any case."""
+        """Executes the run and evaluates it. Raises ScaleError if that is impossible; always ends all processes."""
         try:
             self._start()
-            self._play()
-            self._finish()
+            self._execute()
+            self._collect_counts()
             now_s = to_s(self._clock.now_us())
-            self._usage, self._each = self._processes.usage(now_s), self._processes.each(now_s)
+            self._usage, self._process_usage = self._processes.usage(now_s), self._processes.each(now_s)
         finally:
             self._processes.end_all()
             self._hub.stop()
             self._log.close()
-        return self._judge()
+        return self._evaluate()
 
     # ---------------------------------------------------------------- start
 
@@ -123,7 +123,11 @@
         try:
             self._hub.start()
             server = WSGIServer(
-                split_address(self._layout.cloud), self._answer_cloud, log=None, error_log=None, handler_class=Handler
+                split_address(self._layout.cloud),
+                self._serve_cloud_request,
+                log=None,
+                error_log=None,
+                handler_class=Handler,
             )
             server.start()
         except OSError as error:
@@ -143,7 +147,7 @@
             self._start_controller(number)
 
     def _wait_ready(self) -> None:
-        """All but the controllers serve before these start."""
+        """Waits until all other processes are ready, which the controllers need at their start."""
         names, until_us = {"state", "links", "users", *self._hosts}, self._clock.now_us() + to_us(_READY_S)
         while missing := self._hub.missing(names):
             dead = self._processes.ended()
@@ -155,33 +159,33 @@
     def _start_controller(self, number: int) -> None:
         name = self._layout.controller_name(number)
         if self._processes.runs(name):
-            return  # it was killed twice before it was back
+            return  # killed twice before its restart: the first restart has already started it
         command = controller_command(self._tree, self._directory / f"{name}.toml")
         self._processes.start(name, CONTROLLER, command, to_s(self._clock.now_us()))
 
     # ---------------------------------------------------------------- play
 
-    def _play(self) -> None:
+    def _execute(self) -> None:
         self._began_us = self._clock.now_us()
         self._hub.broadcast(Begin(self._began_us))
         self._faults.start()
-        keeper = gevent.spawn(self._keep_list)
+        list_recorder = gevent.spawn(self._record_lists)
         quiet = gevent.spawn_later(self._settings.duration_s - self._settings.quiet_s, self._hub.broadcast, Quiet())
         next_progress_s = _PROGRESS_S
         while (at_s := self._at_s()) < self._settings.duration_s:
             gevent.sleep(min(_SAMPLE_S, self._settings.duration_s - at_s))
-            self._look(self._processes.sample(to_s(self._clock.now_us())))
+            self._check_processes(self._processes.sample(to_s(self._clock.now_us())))
             if self._at_s() >= next_progress_s:
                 next_progress_s += _PROGRESS_S
                 self._show_progress()
         self._faults.stop()
-        gevent.killall([keeper, quiet])
+        gevent.killall([list_recorder, quiet])
 
     def _at_s(self) -> float:
         return to_s(self._clock.now_us() - self._began_us)
 
-    def _look(self, memory_mb: float) -> None:
-        """Does the run stay within its bounds, and does all that it started still run?"""
+    def _check_processes(self, memory_mb: float) -> None:
+        """Restarts exited controllers. Raises ScaleError if another process exited or memory exceeds its bound."""
         allowed_mb = psutil.virtual_memory().total * MEMORY_SHARE / _MB
         if memory_mb > allowed_mb:
             raise ScaleError(f"the processes hold {memory_mb:.0f} MB, over half of the machine's memory")
@@ -197,16 +201,16 @@
         line = f"{self._at_s():6.0f} s: {machines} machines up, leader {self._leader or 'none'}, {memory_mb:.0f} MB"
         print(line, file=sys.stderr, flush=True)
 
-    def _finish(self) -> None:
+    def _collect_counts(self) -> None:
         self._hub.broadcast(Finish())
         missing = self._hub.wait_counted({"state", "links", "users", *self._hosts}, _FINISH_S)
         if missing:
-            # What it wrote last may be missing too, and the judge would find what never happened.
+            # Its last events may be missing as well, and the judge would then report violations that never happened.
             raise ScaleError(f"{sorted(missing)[0]} did not say what it counted: nothing can be judged")
 
-    # ---------------------------------------------------------------- what processes say
+    # ---------------------------------------------------------------- messages from processes
 
-    def _said(self, name: str, message: Message) -> None:
+    def _handle_message(self, name: str, message: Message) -> None:
         match message:
             case GangWaits():
                 begins = self._gangs.waits(message, self._clock.now_us())
@@ -217,7 +221,7 @@
                 if broken is not None:
                     self._hub.broadcast(broken, self._hosts)
             case Stopped():
-                result = self._orders.pop(message.order, None)
+                result = self._stop_orders.pop(message.order, None)
                 if result is not None:
                     result.set(None)
             case LeaderSeen():
@@ -228,26 +232,26 @@
 
     # ---------------------------------------------------------------- the cloud
 
-    def _answer_cloud(self, environ: dict[str, Any], start: Callable[..., Any]) -> list[bytes]:
+    def _serve_cloud_request(self, environ: dict[str, Any], start: Callable[..., Any]) -> list[bytes]:
         method, path, body = environ["REQUEST_METHOD"], environ["PATH_INFO"], environ["wsgi.input"].read()
         gevent.sleep(self._settings.cloud.latency_ms / 1000)
         self._counts[f"{method} {path}"] += 1
         if self._cloud.admit():
-            status, answer = self._route_cloud(method, path, environ["QUERY_STRING"], body)
+            status, answer = self._route_cloud_request(method, path, environ["QUERY_STRING"], body)
         else:
             status, answer = "429 Too Many Requests", {"error": "too many requests"}
         data = msgspec.json.encode(answer)
         start(status, [("Content-Type", "application/json"), ("Content-Length", str(len(data)))])
         return [data]
 
-    def _route_cloud(self, method: str, path: str, query: str, body: bytes) -> tuple[str, Any]:
+    def _route_cloud_request(self, method: str, path: str, query: str, body: bytes) -> tuple[str, Any]:
         if path == "/machine_types":
             return "200 OK", cloud_wire.MachineTypes([self._kind])
         if path == "/rentals/return":
             names = cloud_module.parse_names(body)
             returned = self._cloud.give_back(names)
-            self._stop([one for one in returned if one.up])
-            if not self._have_stopped(names):
+            self._stop([rental for rental in returned if rental.up])
+            if not self._wait_stopped(names):
                 return "503 Service Unavailable", {"error": "not returned yet"}
             return "200 OK", {}
         if method == "POST":
@@ -255,44 +259,44 @@
             rented = self._cloud.rent(request)
             if rented is None:
                 return "503 Service Unavailable", {"error": "no capacity"}
-            for one in rented:
+            for rental in rented:
                 boot_s = self._settings.machine.boot_s * (0.8 + 0.4 * self._rng.random())
-                gevent.spawn_later(boot_s, self._boot, one)
+                gevent.spawn_later(boot_s, self._boot, rental)
             return "200 OK", cloud_wire.MachineNames(self._cloud.charter(request.name))
-        asked = parse_qs(query)
-        most = int(asked.get("most", [str(cloud_wire.MAX_MACHINES_PER_PAGE)])[0])
-        return "200 OK", self._cloud.page(asked.get("since", [""])[0], most)
+        parameters = parse_qs(query)
+        max_machines = int(parameters.get("most", [str(cloud_wire.MAX_MACHINES_PER_PAGE)])[0])
+        return "200 OK", self._cloud.page(parameters.get("since", [""])[0], max_machines)
 
-    def _boot(self, one: Rental) -> None:
-        if self._cloud.machines.get(one.name) is one:
-            one.up = True
-            self._hub.send(f"host-{one.process}", Booted(one.name, one.number, one.zone, one.spot))
+    def _boot(self, rental: Rental) -> None:
+        if self._cloud.machines.get(rental.name) is rental:
+            rental.up = True
+            self._hub.send(f"host-{rental.process}", Booted(rental.name, rental.number, rental.zone, rental.spot))
 
-    def _keep_list(self) -> None:
+    def _record_lists(self) -> None:
         while True:
             self._cloud.describe()
             gevent.sleep(_SAMPLE_S)
 
     def _stop(self, machines: list[Rental]) -> bool:
-        """They and all that is on them stop; returns once they have, False if that takes too long."""
+        """Stops machines with all their tasks; True if the stops are acknowledged within `_STOP_S`."""
         by_process: dict[int, list[str]] = {}
-        for one in machines:
-            by_process.setdefault(one.process, []).append(one.name)
+        for rental in machines:
+            by_process.setdefault(rental.process, []).append(rental.name)
         for process, names in by_process.items():
             order, stopped = next(self._order_numbers), AsyncResult()
-            self._orders[order] = stopped
-            self._stopping.update(dict.fromkeys(names, stopped))
+            self._stop_orders[order] = stopped
+            self._stops_by_machine.update(dict.fromkeys(names, stopped))
             self._hub.send(f"host-{process}", Stop(order, names))
-        return self._have_stopped([one.name for one in machines])
+        return self._wait_stopped([rental.name for rental in machines])
 
-    def _have_stopped(self, names: list[str]) -> bool:
-        """Is nothing of these on a machine any more? Waits for a while."""
-        waiting = [self._stopping[name] for name in names if name in self._stopping]
+    def _wait_stopped(self, names: list[str]) -> bool:
+        """Waits up to `_STOP_S`; True if every stop that was ordered for these machines is acknowledged."""
+        waiting = [self._stops_by_machine[name] for name in names if name in self._stops_by_machine]
         return len(gevent.wait(waiting, timeout=_STOP_S)) == len(waiting)
 
-    # ---------------------------------------------------------------- the end
+    # ---------------------------------------------------------------- evaluation
 
-    def _judge(self) -> report.Result:
+    def _evaluate(self) -> report.Result:
         judge = Judge(self._workload, teams(self._settings), self._settings.workers.cancel_s)
         measures = Measures(self._workload, self._began_us)
         end_us = self._began_us + to_us(self._settings.duration_s)
@@ -310,7 +314,7 @@
             judge.end(),
             measures.result(),
             self._usage,
-            self._each,
+            self._process_usage,
             self._hub.counted.values(),
             dict(self._counts | self._cloud.counts),
             self._processes.peak_memory_mb,
@@ -322,7 +326,7 @@
 
 
 def run(settings: ScaleSettings, path: Path, out: Path, tree: Path | None = None) -> report.Result:
-    """Play a run; its files, and `result.json` at the end, are in the directory `out`, which must be new or empty."""
+    """Executes a run. Its files, and finally `result.json`, go to the directory `out`, which must be new or empty."""
     directory = out.resolve()
     if directory.exists() and any(directory.iterdir()):
         raise ScaleError(f"{out}: is not empty")
--- a/src/tideusher/scale/hub.py
+++ b/src/tideusher/scale/hub.py
@@ -1,4 +1,4 @@
-"""Where all processes of a scale run report: their connections by name."""
+"""The hub of a scale run: the coordinator's connections to all other processes, by process name."""
 
 from collections.abc import Callable, Iterable
 
@@ -16,67 +16,67 @@
 
 
 class Hub:
-    """Sends to processes by their names, and hands over what they say."""
+    """Sends messages to processes by name, and passes on the messages it receives from them."""
 
     def __init__(self, address: str, handle: Callable[[str, Message], None]) -> None:
-        self._handle = handle
+        self._on_message = handle
         self._outboxes: dict[str, Queue[bytes]] = {}
-        self._changed = Event()
+        self._received = Event()
         self.counted: dict[str, Counted] = {}
-        self._server = StreamServer(split_address(address), self._serve)
+        self._server = StreamServer(split_address(address), self._receive)
 
     def start(self) -> None:
-        """Begin to accept connections; raises OSError where the address is in use."""
+        """Starts to accept connections; raises OSError if the address is in use."""
         self._server.start()
 
     def stop(self) -> None:
-        """Accept no more, and let go of those that are there."""
+        """Stops accepting connections and abandons the open ones."""
         self._server.stop(timeout=0)
 
     def send(self, name: str, message: HubMessage) -> None:
-        """To one process; what has ended is passed over."""
+        """Sends a message to a process; does nothing if that process is not connected."""
         outbox = self._outboxes.get(name)
         if outbox is not None:
             outbox.put(frame(message))  # type: ignore[arg-type]
 
     def broadcast(self, message: HubMessage, names: Iterable[str] | None = None) -> None:
-        """To all of these, or to all there are."""
+        """Sends a message to the named processes, or to all connected processes."""
         for name in list(self._outboxes) if names is None else names:
             self.send(name, message)
 
     def missing(self, names: set[str]) -> set[str]:
-        """Those of these that do not serve (yet)."""
+        """Returns the names of those processes that are not connected (yet)."""
         return names - set(self._outboxes)
 
     def wait_counted(self, names: set[str], timeout_s: float) -> set[str]:
-        """Wait until all of these have said what they counted; returns those that have not."""
+        """Waits until all these processes have sent their counts; returns those that have not."""
         with gevent.Timeout(timeout_s, False):
             while not names <= set(self.counted):
-                self._changed.clear()
-                self._changed.wait()
+                self._received.clear()
+                self._received.wait()
         return names - set(self.counted)
 
-    def _serve(self, connection: socket.socket, _address: object) -> None:
+    def _receive(self, connection: socket.socket, _address: object) -> None:
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        unframer, name = MessageDecoder(), ""
+        decoder, name = MessageDecoder(), ""
         try:
             while data := connection.recv(_RECEIVE_BYTES):
-                for message in unframer.feed(data):
+                for message in decoder.feed(data):
                     if isinstance(message, Ready):
                         name = message.name
                         self._outboxes[name] = Queue()
-                        gevent.spawn(self._deliver, connection, self._outboxes[name])
+                        gevent.spawn(self._send_queued, connection, self._outboxes[name])
                     elif isinstance(message, Counted):
                         self.counted[message.name] = message
                     else:
-                        self._handle(name, message)
-                    self._changed.set()
+                        self._on_message(name, message)
+                    self._received.set()
         except (OSError, FrameError):
             pass
         self._outboxes.pop(name, None)
 
     @staticmethod
-    def _deliver(connection: socket.socket, outbox: "Queue[bytes]") -> None:
+    def _send_queued(connection: socket.socket, outbox: "Queue[bytes]") -> None:
         try:
             while True:
                 connection.sendall(outbox.get())
--- a/src/tideusher/scale/processes.py
+++ b/src/tideusher/scale/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a scale run: started, watched and ended by id, whatever ends the run."""
+"""Starts, monitors and ends the processes of a scale run by id, however the run ends."""
 
 import ctypes
 import os
@@ -18,7 +18,7 @@
 
 
 class Usage(msgspec.Struct):
-    """What the processes of one role took; shares are of one core."""
+    """Resource usage of the processes of a role; shares are of one core."""
 
     processes: int = 0
     cpu_s: float = 0.0
@@ -28,7 +28,7 @@
 
 
 class ProcessUsage(msgspec.Struct):
-    """What one process took in its last life."""
+    """Resource usage of a process since its last start."""
 
     role: str
     lived_s: float
@@ -38,21 +38,21 @@
 
 
 @dataclass(slots=True)
-class _Watched:
+class _MonitoredProcess:
     name: str
     role: str
     popen: "subprocess.Popen[bytes]"
     process: psutil.Process
-    began_at_s: float
+    started_at_s: float
     cpu_s: float = 0.0
-    since_s: float = 0.0
+    sampled_at_s: float = 0.0
     peak_share: float = 0.0
     peak_mb: float = 0.0
 
 
 @dataclass(slots=True)
-class _Past:
-    """Lives of a role's processes that have ended."""
+class _EndedUsage:
+    """Accumulated resource usage of a role's processes that were killed."""
 
     cpu_s: float = 0.0
     peak_share: float = 0.0
@@ -65,121 +65,135 @@
 
 @dataclass(slots=True)
 class Processes:
-    """All that a run started."""
+    """All processes that a run has started, by name."""
 
     directory: Path
-    _watched: dict[str, _Watched] = field(default_factory=dict)
-    _past: dict[str, _Past] = field(default_factory=dict)
+    _monitored: dict[str, _MonitoredProcess] = field(default_factory=dict)
+    _ended_usage: dict[str, _EndedUsage] = field(default_factory=dict)
     peak_memory_mb: float = 0.0
     peak_count: int = 0
 
     def start(self, name: str, role: str, command: Sequence[str], now_s: float) -> None:
-        """Start one; what it says goes to a file of its own."""
+        """Starts a process; its output goes to its own log file."""
         with (self.directory / f"{name}.log").open("ab") as log:
             popen = subprocess.Popen(
                 command, stdin=subprocess.DEVNULL, stdout=log, stderr=log, preexec_fn=_end_with_parent
             )
-        self._watched[name] = _Watched(name, role, popen, psutil.Process(popen.pid), now_s, since_s=now_s)
+        self._monitored[name] = _MonitoredProcess(
+            name, role, popen, psutil.Process(popen.pid), now_s, sampled_at_s=now_s
+        )
 
     def kill(self, name: str) -> None:
-        """End one without a signal that it could handle, as the platform does."""
-        one = self._watched.pop(name, None)
-        if one is None:
+        """Kills a process without a signal that it could handle, as the platform does."""
+        monitored = self._monitored.pop(name, None)
+        if monitored is None:
             return
-        one.popen.kill()
-        one.popen.wait()
-        past = self._past.setdefault(one.role, _Past())
-        past.cpu_s += one.cpu_s
-        past.peak_share = max(past.peak_share, one.peak_share)
-        past.peak_mb = max(past.peak_mb, one.peak_mb)
+        monitored.popen.kill()
+        monitored.popen.wait()
+        ended_usage = self._ended_usage.setdefault(monitored.role, _EndedUsage())
+        ended_usage.cpu_s += monitored.cpu_s
+        ended_usage.peak_share = max(ended_usage.peak_share, monitored.peak_share)
+        ended_usage.peak_mb = max(ended_usage.peak_mb, monitored.peak_mb)
 
     def runs(self, name: str) -> bool:
-        """Was it started, and not killed since?"""
-        return name in self._watched
+        """True if the process was started and has not been killed since."""
+        return name in self._monitored
 
     def pause(self, name: str) -> bool:
-        """Let it stand still, its clocks running on; False if there is none."""
-        one = self._watched.get(name)
-        if one is not None:
-            one.popen.send_signal(signal.SIGSTOP)
-        return one is not None
+        """Suspends a process, whose clocks run on; False if it does not exist."""
+        monitored = self._monitored.get(name)
+        if monitored is not None:
+            monitored.popen.send_signal(signal.SIGSTOP)
+        return monitored is not None
 
     def go_on(self, name: str) -> None:
-        """Let one that stands still go on."""
-        one = self._watched.get(name)
-        if one is not None:
-            one.popen.send_signal(signal.SIGCONT)
+        """Resumes a suspended process."""
+        monitored = self._monitored.get(name)
+        if monitored is not None:
+            monitored.popen.send_signal(signal.SIGCONT)
 
     def ended(self) -> list[str]:
-        """Names of those that ended by themselves."""
-        return [one.name for one in self._watched.values() if one.popen.poll() is not None]
+        """Returns the names of the processes that exited by themselves."""
+        return [monitored.name for monitored in self._monitored.values() if monitored.popen.poll() is not None]
 
     def log_tail(self, name: str, lines: int = 3) -> str:
-        """The last lines that a process wrote."""
+        """Returns the last lines of a process's log file."""
         text = (self.directory / f"{name}.log").read_text("utf-8", "replace").strip().splitlines()
         return " | ".join(text[-lines:])
 
     def sample(self, now_s: float) -> float:
-        """Look at each; returns the memory of all in MB, this process's own included."""
+        """Samples the usage of each process; returns their total memory in MB, including this process's own."""
         total_mb = psutil.Process(os.getpid()).memory_info().rss / _MB
-        for one in self._watched.values():
+        for monitored in self._monitored.values():
             try:
-                times, memory = one.process.cpu_times(), one.process.memory_info()
+                times, memory = monitored.process.cpu_times(), monitored.process.memory_info()
             except psutil.Error:
                 continue
             cpu_s, memory_mb = times.user + times.system, memory.rss / _MB
-            if now_s > one.since_s:
-                one.peak_share = max(one.peak_share, (cpu_s - one.cpu_s) / (now_s - one.since_s))
-            one.cpu_s, one.since_s, one.peak_mb = cpu_s, now_s, max(one.peak_mb, memory_mb)
+            if now_s > monitored.sampled_at_s:
+                monitored.peak_share = max(
+                    monitored.peak_share, (cpu_s - monitored.cpu_s) / (now_s - monitored.sampled_at_s)
+                )
+            monitored.cpu_s, monitored.sampled_at_s, monitored.peak_mb = (
+                cpu_s,
+                now_s,
+                max(monitored.peak_mb, memory_mb),
+            )
             total_mb += memory_mb
         self.peak_memory_mb = max(self.peak_memory_mb, total_mb)
-        self.peak_count = max(self.peak_count, len(self._watched) + 1)
+        self.peak_count = max(self.peak_count, len(self._monitored) + 1)
         return total_mb
 
     def usage(self, now_s: float) -> dict[str, Usage]:
-        """By role."""
-        found: dict[str, Usage] = {}
-        for role, past in self._past.items():
-            found[role] = Usage(0, past.cpu_s, 0.0, past.peak_share, past.peak_mb)
-        for one in self._watched.values():
-            usage = found.setdefault(one.role, Usage())
+        """Returns the resource usage by role."""
+        usages: dict[str, Usage] = {}
+        for role, ended_usage in self._ended_usage.items():
+            usages[role] = Usage(0, ended_usage.cpu_s, 0.0, ended_usage.peak_share, ended_usage.peak_mb)
+        for monitored in self._monitored.values():
+            usage = usages.setdefault(monitored.role, Usage())
             usage.processes += 1
-            usage.cpu_s += one.cpu_s
-            mean = one.cpu_s / max(1e-6, now_s - one.began_at_s)
-            usage.mean_core_share = max(usage.mean_core_share, mean)
-            usage.peak_core_share = max(usage.peak_core_share, one.peak_share)
-            usage.peak_memory_mb = max(usage.peak_memory_mb, one.peak_mb)
-        return found
+            usage.cpu_s += monitored.cpu_s
+            mean_share = monitored.cpu_s / max(1e-6, now_s - monitored.started_at_s)
+            usage.mean_core_share = max(usage.mean_core_share, mean_share)
+            usage.peak_core_share = max(usage.peak_core_share, monitored.peak_share)
+            usage.peak_memory_mb = max(usage.peak_memory_mb, monitored.peak_mb)
+        return usages
 
     def each(self, now_s: float) -> dict[str, ProcessUsage]:
-        """By process; of those that were restarted, what the present life took."""
+        """Returns the resource usage by process; for a restarted process, since its last start."""
         return {
-            one.name: ProcessUsage(one.role, now_s - one.began_at_s, one.cpu_s, one.peak_share, one.peak_mb)
-            for one in self._watched.values()
+            monitored.name: ProcessUsage(
+                monitored.role,
+                now_s - monitored.started_at_s,
+                monitored.cpu_s,
+                monitored.peak_share,
+                monitored.peak_mb,
+            )
+            for monitored in self._monitored.values()
         }
 
     def end_all(self) -> None:
-        """End whatever still runs."""
-        for one in self._watched.values():
-            if one.popen.poll() is None:
-                one.popen.send_signal(signal.SIGCONT)
-                one.popen.terminate()
-        for one in self._watched.values():
+        """Ends all processes that still run: terminates them, and kills those that outlast `_END_S`."""
+        for monitored in self._monitored.values():
+            if monitored.popen.poll() is None:
+                monitored.popen.send_signal(signal.SIGCONT)
+                monitored.popen.terminate()
+        for monitored in self._monitored.values():
             try:
-                one.popen.wait(_END_S)
+                monitored.popen.wait(_END_S)
             except subprocess.TimeoutExpired:
-                one.popen.kill()
-                one.popen.wait()
-        self._watched.clear()
+                monitored.popen.kill()
+                monitored.popen.wait()
+        self._monitored.clear()
 
 
 def role_command(module: str, *arguments: str) -> list[str]:
-    """One of our own processes."""
+    """Returns the command line of a simulation process."""
     return [sys.executable, "-m", f"tideusher.scale.{module}", *arguments]
 
 
 def controller_command(tree: Path | None, config: Path) -> list[str]:
-    """A controller: `run.py` of a checkout, or the installed package where there is none."""
+    """Returns the command line of a controller: `run.py` of a checkout, or the installed package if there is none."""
     script = (tree or Path(__file__).resolve().parents[3]) / "run.py"
     if script.exists():
         return [sys.executable, str(script), "--config", str(config)]
