--- a/src/tideusher/scale/coordinator.py
+++ b/src/tideusher/scale/coordinator.py
@@ -49,8 +49,8 @@
 from tideusher.scale.workload import Workload
 from tideusher.wire import cloud as cloud_wire
 
-_READY_S, _FINISH_S, _STOP_S = 60.0, 30.0, 10.0
-_SAMPLE_S, _PROGRESS_S = 1.0, 5.0
+_READY_TIMEOUT_S, _COUNTS_TIMEOUT_S, _STOP_TIMEOUT_S = 60.0, 30.0, 10.0
+_SAMPLE_INTERVAL_S, _PROGRESS_INTERVAL_S = 1.0, 5.0
 _MB = 1e6
 #: Bound set by the users: the largest share of the machine's memory that the run's processes may hold.
 MEMORY_SHARE = 0.5
@@ -148,7 +148,7 @@
 
     def _wait_ready(self) -> None:
         """Waits until all other processes are ready, which the controllers need at their start."""
-        names, until_us = {"state", "links", "users", *self._hosts}, self._clock.now_us() + to_us(_READY_S)
+        names, until_us = {"state", "links", "users", *self._hosts}, self._clock.now_us() + to_us(_READY_TIMEOUT_S)
         while missing := self._hub.missing(names):
             dead = self._processes.ended()
             if dead or self._clock.now_us() > until_us:
@@ -171,12 +171,12 @@
         self._faults.start()
         list_recorder = gevent.spawn(self._record_lists)
         quiet = gevent.spawn_later(self._settings.duration_s - self._settings.quiet_s, self._hub.broadcast, Quiet())
-        next_progress_s = _PROGRESS_S
+        next_progress_s = _PROGRESS_INTERVAL_S
         while (at_s := self._at_s()) < self._settings.duration_s:
-            gevent.sleep(min(_SAMPLE_S, self._settings.duration_s - at_s))
+            gevent.sleep(min(_SAMPLE_INTERVAL_S, self._settings.duration_s - at_s))
             self._check_processes(self._processes.sample(to_s(self._clock.now_us())))
             if self._at_s() >= next_progress_s:
-                next_progress_s += _PROGRESS_S
+                next_progress_s += _PROGRESS_INTERVAL_S
                 self._show_progress()
         self._faults.stop()
         gevent.killall([list_recorder, quiet])
@@ -203,7 +203,7 @@
 
     def _collect_counts(self) -> None:
         self._hub.broadcast(Finish())
-        missing = self._hub.wait_counted({"state", "links", "users", *self._hosts}, _FINISH_S)
+        missing = self._hub.wait_counted({"state", "links", "users", *self._hosts}, _COUNTS_TIMEOUT_S)
         if missing:
             # Its last events may be missing as well, and the judge would then report violations that never happened.
             raise ScaleError(f"{sorted(missing)[0]} did not say what it counted: nothing can be judged")
@@ -275,10 +275,10 @@
     def _record_lists(self) -> None:
         while True:
             self._cloud.describe()
-            gevent.sleep(_SAMPLE_S)
+            gevent.sleep(_SAMPLE_INTERVAL_S)
 
     def _stop(self, machines: list[Rental]) -> bool:
-        """Stops machines with all their tasks; True if the stops are acknowledged within `_STOP_S`."""
+        """Stops machines with all their tasks; True if the stops are acknowledged within `_STOP_TIMEOUT_S`."""
         by_process: dict[int, list[str]] = {}
         for rental in machines:
             by_process.setdefault(rental.process, []).append(rental.name)
@@ -290,9 +290,9 @@
         return self._wait_stopped([rental.name for rental in machines])
 
     def _wait_stopped(self, names: list[str]) -> bool:
-        """Waits up to `_STOP_S`; True if every stop that was ordered for these machines is acknowledged."""
+        """Waits up to `_STOP_TIMEOUT_S`; True if every stop that was ordered for these machines is acknowledged."""
         waiting = [self._stops_by_machine[name] for name in names if name in self._stops_by_machine]
-        return len(gevent.wait(waiting, timeout=_STOP_S)) == len(waiting)
+        return len(gevent.wait(waiting, timeout=_STOP_TIMEOUT_S)) == len(waiting)
 
     # ---------------------------------------------------------------- evaluation
 
--- a/src/tideusher/scale/host.py
+++ b/src/tideusher/scale/host.py
@@ -1,7 +1,7 @@
-"""A process that plays workers: hundreds of hollow ones, or a single one whose own cost is measured.
+"""A process that simulates workers: hundreds of hollow ones, or a single one whose own cost is measured.
 
-Each machine reports over a connection of its own to one controller at a time, and is called directly at an address of
-its own. A machine that stopped takes no connections any more: its listener's queue is full, so that they hang.
+Each machine reports over its own connection to one controller at a time, and is called directly at its own address. A
+stopped machine accepts no more connections: the queue of its listener is full, so that new connections hang.
 """
 
 import random
@@ -47,70 +47,70 @@
 from tideusher.wire.jobs import GANG
 
 MACHINE_TYPE = "scale"
-#: As the protocol has it: a worker gives a report up after this, tries the next node after that, and reports changes
-#: at most this often.
-REPORT_TIMEOUT_S, NEXT_NODE_S, CHANGE_PAUSE_US = 4.0, 1.0, SECOND_US // 2
-#: Connections that are kept waiting at the address of a machine that stopped, so that further ones hang.
+#: From the protocol: the timeout of a report, the pause before the next node is tried, and the shortest interval
+#: between a report and one that is sent early because of a change.
+REPORT_TIMEOUT_S, NEXT_NODE_PAUSE_S, CHANGE_INTERVAL_US = 4.0, 1.0, SECOND_US // 2
+#: Connections kept pending at the address of a stopped machine, so that further ones hang.
 _QUEUE_FILLERS = 2
 _LISTEN_BACKLOG = 1024
-_HANG_LOOK_S = 0.1
+_HANG_POLL_S = 0.1
 HANG, DEAF, MUTE, RECALL = "hang", "deaf", "mute", "recall"
-#: How much later a copy of a report comes, and a direct call that is held up.
-COPY_S, CALL_LATE_S = (2.0, 20.0), (2.0, 12.0)
+#: Shortest and longest delay of a duplicated report, and of a direct call that is delayed.
+COPY_DELAY_S, CALL_DELAY_S = (2.0, 20.0), (2.0, 12.0)
 
 
 def machine_type(settings: ScaleSettings, zones: list[str]) -> MachineType:
-    """The one type of machine of a run."""
-    one = settings.machine
+    """Returns the machine type of a run, which has only one."""
+    spec = settings.machine
     return MachineType(
         MACHINE_TYPE,
-        one.cpus,
-        one.gpus,
-        one.ram_gb,
-        one.cache_gb,
-        one.fetch_gb_per_s,
-        one.price,
-        one.price / 2,
-        one.boot_s,
+        spec.cpus,
+        spec.gpus,
+        spec.ram_gb,
+        spec.cache_gb,
+        spec.fetch_gb_per_s,
+        spec.price,
+        spec.price / 2,
+        spec.boot_s,
         zones,
     )
 
 
 class Worker:
-    """A machine with its connection to a controller."""
+    """A machine with its connection to a controller and its injected faults."""
 
     def __init__(self, host: "Host", machine: HollowMachine, place: Place) -> None:
         self._host, self.machine, self.place = host, machine, place
         self._wake = Event()
         self._controller = host.rng.randrange(host.controllers)
         self._client: HttpClient | None = None
-        self._ails: dict[str, int] = {}  # until when
+        self._fault_ends_us: dict[str, int] = {}  # end of each injected fault
         self.greenlet = gevent.spawn(self._run)
 
-    # ---------------------------------------------------------------- what ails it
+    # ---------------------------------------------------------------- injected faults
 
-    def afflict(self, kind: str, until_us: int) -> None:
-        """It hangs, is deaf or mute, or is told that the cloud takes it back, until then."""
-        self._ails[kind] = until_us
+    def inject_fault(self, kind: str, until_us: int) -> None:
+        """Until this time, the machine hangs, ignores input (deaf), sends no reports (mute) or is being recalled."""
+        self._fault_ends_us[kind] = until_us
         if kind == RECALL:
             self.machine.changed = True
         self.wake()
 
-    def ails(self, kind: str) -> bool:
-        """Does it still?"""
-        return self._ails.get(kind, 0) > self._host.clock.now_us()
+    def has_fault(self, kind: str) -> bool:
+        """True while this fault lasts."""
+        return self._fault_ends_us.get(kind, 0) > self._host.clock.now_us()
 
     def wait_while_hanging(self) -> None:
-        """What comes to a machine that hangs waits there."""
-        while self.ails(HANG):
-            gevent.sleep(_HANG_LOOK_S)
+        """Blocks while the machine hangs: reports, answers and direct calls are delayed until then."""
+        while self.has_fault(HANG):
+            gevent.sleep(_HANG_POLL_S)
 
     def _recall_s(self) -> float | None:
-        left_us = self._ails.get(RECALL, 0) - self._host.clock.now_us()
+        left_us = self._fault_ends_us.get(RECALL, 0) - self._host.clock.now_us()
         return to_s(left_us) if left_us > 0 else None
 
     def wake(self) -> None:
-        """Something changed from outside: a report or a timer may be due."""
+        """Wakes the report loop after a change from outside, as a report or a timer may be due."""
         self._wake.set()
 
     def _run(self) -> None:
@@ -122,25 +122,25 @@
             self.wait_while_hanging()
             now_us = clock.now_us()
             self.machine.advance(now_us)
-            if now_us >= due_us or (self.machine.changed and now_us >= last_us + CHANGE_PAUSE_US):
+            if now_us >= due_us or (self.machine.changed and now_us >= last_us + CHANGE_INTERVAL_US):
                 last_us = now_us
                 pause_s = self._report(now_us)
                 due_us = clock.now_us() + (to_us(pause_s) if pause_s else next_report_us(report_s, rng.random()))
                 continue
             next_us = min(due_us, self.machine.due_us())
             if self.machine.changed:
-                next_us = min(next_us, last_us + CHANGE_PAUSE_US)
+                next_us = min(next_us, last_us + CHANGE_INTERVAL_US)
             self._wake.clear()
             self._wake.wait(max(0.0, to_s(next_us - now_us)))
 
     def _report(self, sent_us: int) -> float:
-        """One report; returns after how long the next node is to be tried, 0: this one is stayed with."""
+        """Sends a report; returns the pause before another node is tried, or 0 to stay with this one."""
         host, machine = self._host, self.machine
         report = msgspec.structs.replace(machine.report(), recall_s=self._recall_s())
         body = workers.encode(report)
-        delay_s, cut = host.way_to(self._controller, self.place)
-        cut = cut or self.ails(MUTE)
-        host.copy_later(body)
+        delay_s, cut = host.controller_link(self._controller, self.place)
+        cut = cut or self.has_fault(MUTE)
+        host.maybe_duplicate(body)
         host.traffic["worker-controller"].add(len(body))
         if cut:
             gevent.sleep(REPORT_TIMEOUT_S)
@@ -156,7 +156,7 @@
             return self._next_node("failed")
         gevent.sleep(delay_s)
         self.wait_while_hanging()
-        if self.ails(DEAF):
+        if self.has_fault(DEAF):
             return self._next_node("deaf")
         host.traffic["controller-worker"].add(len(answer))
         host.counts[f"reports.{status}"] += 1
@@ -169,9 +169,9 @@
             if not machine.answer(commands, sent_us, report.session, host.clock.now_us()):
                 host.counts["reports.dropped"] += 1
             return 0.0
-        return self._redirected(answer) if status == 421 else self._next_node("status")
+        return self._follow_redirect(answer) if status == 421 else self._next_node("status")
 
-    def _redirected(self, answer: bytes) -> float:
+    def _follow_redirect(self, answer: bytes) -> float:
         try:
             redirect: workers.Redirect = msgspec.json.decode(answer, type=workers.Redirect)
         except msgspec.DecodeError:
@@ -182,14 +182,14 @@
         self._controller, self._client = number, None
         return 0.25
 
-    def _next_node(self, why: str) -> float:
-        self._host.counts[f"next node.{why}"] += 1
+    def _next_node(self, reason: str) -> float:
+        self._host.counts[f"next node.{reason}"] += 1
         self._controller, self._client = (self._controller + 1) % self._host.controllers, None
-        return NEXT_NODE_S
+        return NEXT_NODE_PAUSE_S
 
 
 class AddressedHandler(Handler):
-    """Tells the application at which of its process's addresses a request came."""
+    """Adds to the environment the local address at which a request arrived, as a process has many."""
 
     def get_environ(self) -> dict[str, Any]:
         environ: dict[str, Any] = WSGIHandler.get_environ(self)
@@ -198,7 +198,7 @@
 
 
 class Host:
-    """All machines of one process."""
+    """All machines of a process, with their listener and their link to the hub."""
 
     def __init__(self, settings: ScaleSettings, number: int, clock: Clock, log: events.EventLog) -> None:
         self.settings, self.clock, self._number, self._log = settings, clock, number, log
@@ -208,26 +208,26 @@
         self.counts: Counter[str] = Counter()
         self.traffic: dict[str, Traffic] = defaultdict(Traffic)
         self._kind = machine_type(settings, self.layout.zones)
-        self._names = {self.layout.controller_name(one): one for one in range(self.controllers)}
-        self._places = [self.layout.controller_place(one) for one in range(self.controllers)]
-        self._cut: list[tuple[int, int]] = []
+        self._controller_numbers = {self.layout.controller_name(index): index for index in range(self.controllers)}
+        self._controller_places = [self.layout.controller_place(index) for index in range(self.controllers)]
+        self._region_cuts: list[tuple[int, int]] = []
         self._link_cuts, self._messages = LinkCuts([]), MessageTroubles()
         self._leader: Place | None = None
         self._workers: dict[str, Worker] = {}
         self._by_address: dict[str, Worker] = {}
-        self._gangs: dict[tuple[str, int], set[str]] = defaultdict(set)  # machines with tasks of a gang's attempt
-        self._dead: list[socket.socket] = []
+        self._gangs: dict[tuple[str, int], set[str]] = defaultdict(set)  # machines with tasks of an attempt of a gang
+        self._blocking_sockets: list[socket.socket] = []
         self._link = HubLink(self.layout.hub, f"host-{number}")
 
     def run(self) -> None:
-        """Serve until the hub says that the run is over."""
+        """Serves until the hub reports the end of the run."""
         server = WSGIServer(self._listener("0.0.0.0"), self, log=None, error_log=None, handler_class=AddressedHandler)
         server.start()
-        self._link.serve(self._handle, self._counted)
+        self._link.serve(self._handle, self._final_counts)
         self._log.close()
 
     def _listener(self, address: str, backlog: int = _LISTEN_BACKLOG) -> socket.socket:
-        """One at an address of its own goes before the one for all addresses, which takes loopback only."""
+        """Returns a listener. A specific address has precedence over all addresses, which takes loopback only."""
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -235,24 +235,24 @@
         listener.listen(backlog)
         return listener
 
-    # ---------------------------------------------------------------- ways to controllers
+    # ---------------------------------------------------------------- links to controllers
 
     def controller_number(self, name: str) -> int | None:
-        """None for a name that is no controller's."""
-        return self._names.get(name)
+        """Returns the number of a controller; None if no controller has this name."""
+        return self._controller_numbers.get(name)
 
-    def way_to(self, controller: int, place: Place) -> tuple[float, bool]:
-        """The delay to a controller in seconds, and whether the two are cut off from one another."""
-        target = self._places[controller]
-        cut = is_cut(self._cut, place.region, target.region)
+    def controller_link(self, controller: int, place: Place) -> tuple[float, bool]:
+        """Returns the delay to a controller in seconds, and whether the link to it is cut."""
+        target = self._controller_places[controller]
+        cut = is_cut(self._region_cuts, place.region, target.region)
         cut = cut or self._link_cuts.find(controller, "workers") is not None
         return to_s(self.layout.delay_us(place, target)), cut
 
-    def copy_later(self, body: bytes) -> None:
-        """Of some reports a copy arrives again, at any controller."""
+    def maybe_duplicate(self, body: bytes) -> None:
+        """Sends a delayed duplicate of some reports to a random controller."""
         if self.rng.random() < self._messages.copies:
             self.counts["reports copied"] += 1
-            after_s = COPY_S[0] + (COPY_S[1] - COPY_S[0]) * self.rng.random()
+            after_s = COPY_DELAY_S[0] + (COPY_DELAY_S[1] - COPY_DELAY_S[0]) * self.rng.random()
             gevent.spawn_later(after_s, self._send_copy, body, self.rng.randrange(self.controllers))
 
     def _send_copy(self, body: bytes, controller: int) -> None:
@@ -272,11 +272,11 @@
                     self._stop(name)
                 self._link.send(Stopped(message.order))
             case GangBegins():
-                self._tell_gang(message)
+                self._notify_gang(message)
             case GangBroken():
-                self._tell_gang(message)
+                self._notify_gang(message)
             case Cut():
-                self._cut = message.pairs
+                self._region_cuts = message.pairs
             case LinkCuts():
                 self._link_cuts = message
             case MessageTroubles():
@@ -285,7 +285,7 @@
                 until_us = self.clock.now_us() + to_us(message.for_s)
                 for name in message.machines:
                     if name in self._workers:
-                        self._workers[name].afflict(message.affliction, until_us)
+                        self._workers[name].inject_fault(message.affliction, until_us)
             case LeaderIn():
                 self._leader = self.layout.place(message.zone)
 
@@ -300,7 +300,7 @@
             message.spot,
             self.jobs,
             self.settings.workers.settings(),
-            self._tell,
+            self._record_event,
             now_us,
         )
         self._log.write(events.MachineUp(now_us, message.machine, message.zone, MACHINE_TYPE, message.spot))
@@ -319,25 +319,25 @@
         self._log.write(events.MachineDown(now_us, name))
         address = worker.machine.address.partition(":")[0]
         self._by_address.pop(address, None)
-        self._take_no_calls(address)
+        self._block_connections(address)
 
-    def _take_no_calls(self, address: str) -> None:
-        """Connections to this address hang from now on."""
-        self._dead.append(self._listener(address, 0))
+    def _block_connections(self, address: str) -> None:
+        """Makes new connections to this address hang."""
+        self._blocking_sockets.append(self._listener(address, 0))
         for _ in range(_QUEUE_FILLERS):
             filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             filler.setblocking(False)
             filler.connect_ex((address, self.layout.worker_port + self._number))
-            self._dead.append(filler)
+            self._blocking_sockets.append(filler)
 
-    def _counted(self) -> Counted:
+    def _final_counts(self) -> Counted:
         self._log.flush()
         return Counted(f"host-{self._number}", dict(self.counts), dict(self.traffic))
 
     # ---------------------------------------------------------------- tasks
 
-    def _tell(self, event: events.AnyEvent) -> None:
-        """A machine's event: written down, and for gangs told to the hub."""
+    def _record_event(self, event: events.AnyEvent) -> None:
+        """Logs an event of a machine; reports events of gangs to the hub."""
         self._log.write(event)
         if isinstance(event, events.OnMachine) and self._is_gang(event.job):
             self._gangs[event.job, event.attempt].add(event.machine)
@@ -348,7 +348,7 @@
     def _is_gang(self, job: str) -> bool:
         return self.jobs.spec(job).shape == GANG
 
-    def _tell_gang(self, message: GangBegins | GangBroken) -> None:
+    def _notify_gang(self, message: GangBegins | GangBroken) -> None:
         for name in self._gangs.get((message.job, message.attempt), ()):
             worker = self._workers.get(name)
             if worker is None:
@@ -367,15 +367,15 @@
         if worker is None:
             start("404 Not Found", [("Content-Length", "0")])
             return []
-        self._wait_for_caller(worker)
+        self._apply_leader_delay(worker)
         worker.wait_while_hanging()
         if self.rng.random() < self._messages.late_calls:
             self.counts["direct.late"] += 1
-            gevent.sleep(CALL_LATE_S[0] + (CALL_LATE_S[1] - CALL_LATE_S[0]) * self.rng.random())
-        if worker.ails(DEAF):
+            gevent.sleep(CALL_DELAY_S[0] + (CALL_DELAY_S[1] - CALL_DELAY_S[0]) * self.rng.random())
+        if worker.has_fault(DEAF):
             start("503 Service Unavailable", [("Content-Length", "0")])
             return []
-        status, report = self._called(worker, environ["PATH_INFO"], body)
+        status, report = self._handle_call(worker, environ["PATH_INFO"], body)
         data = workers.encode(report)
         self.traffic["controller-worker"].add(len(body))
         self.traffic["worker-controller"].add(len(data))
@@ -385,15 +385,15 @@
         worker.wake()
         return [data]
 
-    def _wait_for_caller(self, worker: Worker) -> None:
-        """Nearly all direct calls are the leader's: theirs is the delay, and the cut."""
+    def _apply_leader_delay(self, worker: Worker) -> None:
+        """Applies the delay and the cut of the link to the leader, which makes nearly all direct calls."""
         if self._leader is None:
             return
-        while is_cut(self._cut, worker.place.region, self._leader.region):
+        while is_cut(self._region_cuts, worker.place.region, self._leader.region):
             gevent.sleep(0.2)
         gevent.sleep(to_s(2 * self.layout.delay_us(worker.place, self._leader)))
 
-    def _called(self, worker: Worker, path: str, body: bytes) -> tuple[int, workers.Report]:
+    def _handle_call(self, worker: Worker, path: str, body: bytes) -> tuple[int, workers.Report]:
         now_us = self.clock.now_us()
         if path == "/do":
             return worker.machine.direct(msgspec.json.decode(body, type=workers.DirectCommands), now_us)
@@ -402,7 +402,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """`host FILE NUMBER DIRECTORY`"""
+    """Runs `host FILE NUMBER DIRECTORY`."""
     path, number, directory = arguments
     log = events.EventLog(Path(directory) / f"events-host-{number}.jsonl")
     Host(load_scale_settings(path), int(number), Clock(), log).run()
--- a/src/tideusher/scale/processes.py
+++ b/src/tideusher/scale/processes.py
@@ -13,7 +13,7 @@
 import psutil
 
 _PR_SET_PDEATHSIG = 1
-_END_S = 5.0
+_END_TIMEOUT_S = 5.0
 _MB = 1e6
 
 
@@ -173,14 +173,14 @@
         }
 
     def end_all(self) -> None:
-        """Ends all processes that still run: terminates them, and kills those that outlast `_END_S`."""
+        """Ends all processes that still run: terminates them, and kills those that outlast `_END_TIMEOUT_S`."""
         for monitored in self._monitored.values():
             if monitored.popen.poll() is None:
                 monitored.popen.send_signal(signal.SIGCONT)
                 monitored.popen.terminate()
         for monitored in self._monitored.values():
             try:
-                monitored.popen.wait(_END_S)
+                monitored.popen.wait(_END_TIMEOUT_S)
             except subprocess.TimeoutExpired:
                 monitored.popen.kill()
                 monitored.popen.wait()
