--- a/src/tideusher/scale/soak.py
+++ b/src/tideusher/scale/soak.py
@@ -1,4 +1,4 @@
-"""The soak: scale runs of many seeds, some at a time, each judged and told in a line."""
+"""Runs the soak: scale runs of many seeds, several in parallel, each checked and reported as it ends."""
 
 import os
 import random
@@ -18,46 +18,49 @@
 from tideusher.scale.soak_findings import Findings, look
 from tideusher.scale.soak_schedule import QUIET_S, SHORT_QUIET_S, Plan, draw
 
-#: Ports of a run lie within so many of its first; below those that the system gives to connections.
+#: Size of a run's block of ports, and the range of the blocks, which lies below the ephemeral ports that the system
+#: assigns to connections.
 PORTS, FIRST_PORT, LAST_PORT = 300, 20_000, 32_000
-#: Tries to find free ones, and to make a run whose ports were taken meanwhile.
-PORT_TRIES, RUN_TRIES = 40, 3
-#: How lines of the soak begin in KNOWN-RED.txt.
-KNOWN = "soak:"
-#: A run that takes this much longer than its time hangs.
-GRACE_S = 120.0
-_LOOK_S = 0.5
+#: Attempts to find free ports, and to start a run whose ports were taken in the meantime.
+PORT_ATTEMPTS, RUN_ATTEMPTS = 40, 3
+#: Prefix of the soak's lines in KNOWN-RED.txt.
+KNOWN_PREFIX = "soak:"
+#: A run that exceeds its duration by this much is considered hung and killed.
+OVERTIME_S = 120.0
+_POLL_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Soak:
-    """What is asked of a soak."""
+    """Parameters of a soak."""
 
     seeds: list[int]
     directory: Path
     duration_s: float = 90.0
     workers: int | None = None
     parallel: int = 2
-    tree: Path | None = None  # a checkout whose run.py the controllers are
-    quiet_s: float = QUIET_S  # at the end of each
-    timed: bool = True  # do rules count that a busy machine may break?
-    known: tuple[str, ...] = ()  # parts of tracebacks of faults that are known, and passed over
+    tree: Path | None = None  # checkout whose run.py is run as the controllers
+    quiet_s: float = QUIET_S  # fault-free time at the end of each run
+    timed: bool = True  # whether rules count that a busy machine may break
+    known: tuple[str, ...] = ()  # substrings of the tracebacks of known faults, which are not counted
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What became of a seed."""
+    """Outcome of one seed."""
 
     seed: int
     directory: Path
     result: Result | None
     error: str = ""
     findings: Findings = field(default_factory=Findings)
-    uncounted: dict[str, int] = field(default_factory=dict)  # broken, but not counted as the machine may be busy
+    uncounted: dict[str, int] = field(
+        default_factory=dict
+    )  # broken rules that are ignored because the machine may be busy
 
     @property
     def ok(self) -> bool:
-        """Was it played, and nothing found?"""
+        """True if the run completed without findings."""
         return self.result is not None and not self.findings.all
 
 
@@ -66,33 +69,33 @@
     seed: int
     directory: Path
     popen: "subprocess.Popen[bytes]"
-    until_s: float
-    tries: int
+    deadline_s: float
+    attempt: int
 
 
 def play(soak: Soak, tell: Callable[[Outcome], None]) -> list[Outcome]:
-    """Play all seeds; `tell` is called with each as it ends. All processes are ended, whatever happens."""
-    waiting, running, found = list(reversed(soak.seeds)), list[_Running](), list[Outcome]()
+    """Runs all seeds and calls `tell` with each outcome as it arrives. Remaining processes are ended on any error."""
+    waiting, running, outcomes = list(reversed(soak.seeds)), list[_Running](), list[Outcome]()
     try:
         while waiting or running:
             while waiting and len(running) < soak.parallel:
-                running.append(_start(soak, waiting.pop(), 1))
-            time.sleep(_LOOK_S)
-            for one in [one for one in running if _has_ended(one)]:
-                running.remove(one)
-                if one.popen.returncode == 2 and one.tries < RUN_TRIES and _port_was_taken(one):
-                    running.append(_start(soak, one.seed, one.tries + 1))
+                running.append(_start_run(soak, waiting.pop(), 1))
+            time.sleep(_POLL_S)
+            for run in [run for run in running if _has_ended(run)]:
+                running.remove(run)
+                if run.popen.returncode == 2 and run.attempt < RUN_ATTEMPTS and _remove_if_port_taken(run):
+                    running.append(_start_run(soak, run.seed, run.attempt + 1))
                     continue
-                found.append(_judge(soak, one))
-                tell(found[-1])
+                outcomes.append(_judge(soak, run))
+                tell(outcomes[-1])
     finally:
-        for one in running:
-            one.popen.terminate()
-            one.popen.wait()
-    return found
+        for run in running:
+            run.popen.terminate()
+            run.popen.wait()
+    return outcomes
 
 
-def _start(soak: Soak, seed: int, tries: int) -> _Running:
+def _start_run(soak: Soak, seed: int, attempt: int) -> _Running:
     directory = soak.directory / f"seed-{seed}"
     directory.mkdir(parents=True)
     quiet_s = soak.quiet_s if soak.timed else SHORT_QUIET_S
@@ -104,47 +107,50 @@
     with (soak.directory / f"seed-{seed}.log").open("wb") as log:
         environment = {**os.environ, "LOG_LEVEL": "debug", "LOG_TIME": "1"}
         popen = subprocess.Popen(command, stdin=subprocess.DEVNULL, stdout=log, stderr=log, env=environment)
-    return _Running(seed, directory, popen, time.monotonic() + soak.duration_s + GRACE_S, tries)
+    return _Running(seed, directory, popen, time.monotonic() + soak.duration_s + OVERTIME_S, attempt)
 
 
-def _has_ended(one: _Running) -> bool:
-    if one.popen.poll() is None and time.monotonic() > one.until_s:
-        one.popen.kill()
-        one.popen.wait()
-    return one.popen.poll() is not None
+def _has_ended(run: _Running) -> bool:
+    if run.popen.poll() is None and time.monotonic() > run.deadline_s:
+        run.popen.kill()
+        run.popen.wait()
+    return run.popen.poll() is not None
 
 
-def _last_line(one: _Running) -> str:
-    text = one.directory.with_suffix(".log").read_text("utf-8", "replace").strip()
-    return text.splitlines()[-1] if text else "it said nothing"
+def _last_line(run: _Running) -> str:
+    text = run.directory.with_suffix(".log").read_text("utf-8", "replace").strip()
+    return text.splitlines()[-1] if text else "no output"
 
 
-def _port_was_taken(one: _Running) -> bool:
-    taken = "port" in _last_line(one) or "in use" in _last_line(one)
+def _remove_if_port_taken(run: _Running) -> bool:
+    taken = "port" in _last_line(run) or "in use" in _last_line(run)
     if taken:
-        for path in one.directory.iterdir():
+        for path in run.directory.iterdir():
             path.unlink()
-        one.directory.rmdir()
+        run.directory.rmdir()
     return taken
 
 
-def _judge(soak: Soak, one: _Running) -> Outcome:
-    file = one.directory / "result.json"
+def _judge(soak: Soak, run: _Running) -> Outcome:
+    file = run.directory / "result.json"
     if not file.exists():
-        return Outcome(one.seed, one.directory, None, f"exit {one.popen.returncode}: {_last_line(one)}")
+        return Outcome(run.seed, run.directory, None, f"exit {run.popen.returncode}: {_last_line(run)}")
     result: Result = msgspec.json.decode(file.read_bytes(), type=Result)
     uncounted = {} if soak.timed else {rule: n for rule, n in result.rules_broken.items() if n and rule in TIMED}
-    findings = look(result, one.directory, set(uncounted), soak.known)
-    return Outcome(one.seed, one.directory, result, "", findings, uncounted)
+    findings = look(result, run.directory, set(uncounted), soak.known)
+    return Outcome(run.seed, run.directory, result, "", findings, uncounted)
 
 
 def free_port() -> int:
-    """The first port of a run that is free as far as can be seen; raises ScaleError if there seems to be none."""
-    for _ in range(PORT_TRIES):
+    """Returns the first port of a block that appears to be free; raises ScaleError if no such block is found.
+
+    Only the first ports of a block are probed.
+    """
+    for _ in range(PORT_ATTEMPTS):
         port = random.SystemRandom().randrange(FIRST_PORT, LAST_PORT, PORTS)
         if all(_is_free("127.0.0.1", port + n) for n in range(3)) and _is_free("127.1.0.1", port + 3):
             return port
-    raise ScaleError("no free ports were found")
+    raise ScaleError("no block of free ports was found")
 
 
 def _is_free(host: str, port: int) -> bool:
@@ -157,17 +163,20 @@
 
 
 def read_known(path: Path) -> tuple[str, ...]:
-    """The soak's lines of a KNOWN-RED.txt, `soak: PART OF A TRACEBACK | CAUSE | ISSUE`; none if it is not there."""
+    """Returns the traceback substrings of the soak's lines in a KNOWN-RED.txt; none if the file does not exist.
+
+    Such a line has the form `soak: PART OF A TRACEBACK | CAUSE | ISSUE`.
+    """
     lines = path.read_text("utf-8").splitlines() if path.exists() else []
-    return tuple(line.split(" | ")[0][len(KNOWN) :].strip() for line in lines if line.startswith(KNOWN))
+    return tuple(line.split(" | ")[0][len(KNOWN_PREFIX) :].strip() for line in lines if line.startswith(KNOWN_PREFIX))
 
 
 def parse_seeds(text: str) -> list[int]:
-    """`1-50`, `7` or `1-3,9`; raises ScaleError for anything else."""
+    """Parses a list of seeds such as `1-50`, `7` or `1-3,9`; raises ScaleError for anything else."""
     try:
         return list(_seeds(text))
     except ValueError:
-        raise ScaleError(f"--seeds {text}: a list such as 1-50 or 1-3,9") from None
+        raise ScaleError(f"--seeds {text}: expected a list such as 1-50 or 1-3,9") from None
 
 
 def _seeds(text: str) -> Iterator[int]:
--- a/src/tideusher/scale/soak_report.py
+++ b/src/tideusher/scale/soak_report.py
@@ -1,4 +1,4 @@
-"""What is told of a soak: a line a seed, what a failed one showed, and how to play it again."""
+"""Formats the report of a soak: a line per seed, the findings of failed seeds, and the command that repeats them."""
 
 from collections import Counter
 
@@ -6,33 +6,33 @@
 from tideusher.scale.soak import Outcome
 from tideusher.scale.soak_findings import takeovers
 
-#: So many tracebacks of known faults are told of a seed.
-KNOWN_TOLD = 3
+#: Tracebacks of known faults that are reported per seed.
+MAX_KNOWN_REPORTED = 3
 
 
 def outcome_lines(outcome: Outcome) -> list[str]:
-    """A line; of a seed that shows something also its faults, what was found, and the line that plays it again."""
+    """Returns a summary line for a seed and, if it failed, its faults, findings and the command that repeats it."""
     if outcome.result is None:
-        return [f"seed {outcome.seed}: NOT PLAYED: {outcome.error}", _again(outcome)]
+        return [f"seed {outcome.seed}: NOT PLAYED: {outcome.error}", _repeat_command(outcome)]
     result = outcome.result
     verdict = "ok" if outcome.ok else "BROKEN"
     lines = [f"seed {outcome.seed}: {verdict}; {_figures(result)}, {takeovers(outcome.directory)} takeovers"]
     if outcome.uncounted:
         lines[0] += f"; not counted: {_counts(outcome.uncounted)}"
-    lines += [f"  KNOWN RED {known}" for known in outcome.findings.known[:KNOWN_TOLD]]
+    lines += [f"  KNOWN RED {known}" for known in outcome.findings.known[:MAX_KNOWN_REPORTED]]
     if outcome.ok:
         return lines
     lines += [f"  {fault.at_s:7.2f} s  {fault.what}" for fault in result.faults]
     lines += [f"  {finding}" for finding in outcome.findings.all]
-    return [*lines, _again(outcome)]
+    return [*lines, _repeat_command(outcome)]
 
 
-def _again(outcome: Outcome) -> str:
+def _repeat_command(outcome: Outcome) -> str:
     return f"  again: tideusher scale-run {outcome.directory.with_suffix('.toml')} --out DIR"
 
 
 def _figures(result: Result) -> str:
-    refused = sum(count for what, count in result.users.items() if what.rpartition(".")[2] in ("503", "unanswered"))
+    refused = sum(count for name, count in result.users.items() if name.rpartition(".")[2] in ("503", "unanswered"))
     measured = result.measured
     return (
         f"{result.controllers} controllers, {result.workers} workers, {len(result.faults)} events, "
@@ -46,14 +46,14 @@
 
 
 def summary(outcomes: list[Outcome]) -> str:
-    """The last line."""
-    bad = [outcome.seed for outcome in outcomes if not outcome.ok]
-    found: Counter[str] = Counter()
+    """Returns the last line of the report, over all seeds."""
+    failed = [outcome.seed for outcome in outcomes if not outcome.ok]
+    broken: Counter[str] = Counter()
     checks = 0
     for outcome in outcomes:
         if outcome.result is not None:
             checks += outcome.result.rules_checked
-            found.update({rule: count for rule, count in outcome.result.rules_broken.items() if count})
-    told_bad = f", bad: {', '.join(map(str, bad))}" if bad else ""
-    good = len(outcomes) - len(bad)
-    return f"{len(outcomes)} seeds, {good} ok{told_bad}; {checks} checks; broken: {_counts(found) or 'none'}"
+            broken.update({rule: count for rule, count in outcome.result.rules_broken.items() if count})
+    failed_list = f", bad: {', '.join(map(str, failed))}" if failed else ""
+    passed = len(outcomes) - len(failed)
+    return f"{len(outcomes)} seeds, {passed} ok{failed_list}; {checks} checks; broken: {_counts(broken) or 'none'}"
