--- a/src/tideusher/scale/layout.py
+++ b/src/tideusher/scale/layout.py
@@ -1,8 +1,8 @@
-"""Who is where, and at which loopback address: regions, zones, racks, controllers, links and workers.
+"""Placement and loopback addresses of the processes of a scale run: controllers, services, links and workers.
 
-All addresses are of 127.0.0.0/8. What lies between two controllers, or between a controller and the state service or
-the cloud, goes through the process of links, which has an address for each pair; workers and users reach controllers
-directly and wait for the delay of the link themselves.
+All addresses are in 127.0.0.0/8. Traffic between two controllers, or between a controller and the state service or
+the cloud, passes through the links process, which has an address for each pair. Workers and users connect to
+controllers directly and wait for the delay of the link themselves.
 """
 
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a host stands."""
+    """The zone and region of a host."""
 
     zone: int
     region: int
@@ -26,21 +26,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """One link that is played by a forwarding listener."""
+    """A link that is simulated by a forwarding listener."""
 
     listen: str
     to: str
     source: Place
     target: Place
-    name: str  # the roles at its ends, for the count of bytes
-    controller: int  # whose link it is
-    link: str  # as faults name it: state, cloud or peers
+    name: str  # the roles at its ends, under which its traffic is counted
+    controller: int  # the controller that owns the link
+    link: str  # its name in faults: state, cloud or peers
     other: int | None = None  # the controller at its other end
-    speaks_from: str = ""  # the address that the far end sees; empty: any
+    source_address: str = ""  # source address of the forwarded connections; empty: any
 
 
 class Layout:
-    """Derived from the settings alone, so that every process of a run finds the same."""
+    """The layout of a run. It is derived from the settings alone, so that all processes compute the same one."""
 
     def __init__(self, settings: ScaleSettings) -> None:
         self._settings = settings
@@ -51,15 +51,15 @@
     # ---------------------------------------------------------------- places
 
     def place(self, zone: int) -> Place:
-        """A zone with its region."""
+        """Returns the place of a zone, given by its number."""
         return Place(zone, zone // self._settings.fleet.zones_per_region)
 
     def place_of(self, zone_name: str) -> Place:
-        """The same by the zone's name."""
+        """Returns the place of a zone, given by its name."""
         return self.place(self.zones.index(zone_name))
 
     def controller_place(self, number: int) -> Place:
-        """Controllers take turns over the regions, and within a region over its zones."""
+        """Returns the place of a controller: round robin over the regions, and within a region over its zones."""
         fleet = self._settings.fleet
         region = number % fleet.regions
         zone = number // fleet.regions % fleet.zones_per_region
@@ -67,12 +67,12 @@
 
     @property
     def services(self) -> Place:
-        """The state service and the cloud's interface, which belong to a region and to no zone."""
+        """The place of the state service and the cloud's API, which belong to a region but to no zone."""
         region = self._settings.state.region
         return Place(-1, region)
 
     def delay_us(self, one: Place, other: Place) -> int:
-        """How long a packet is on its way."""
+        """Returns the one-way delay between two places."""
         links = self._settings.links
         if one.region != other.region:
             delay_ms = links.cross_region_ms
@@ -86,73 +86,76 @@
 
     @property
     def hub(self) -> str:
-        """Where all processes of the run report to."""
+        """Address of the hub, to which all processes of the run connect."""
         return f"{HUB_HOST}:{self._port}"
 
     @property
     def cloud(self) -> str:
-        """The cloud's interface itself."""
+        """Address of the cloud's API, without a link in between."""
         return f"{HUB_HOST}:{self._port + 1}"
 
     @property
     def state(self) -> str:
-        """The state service itself."""
+        """Address of the state service, without a link in between."""
         return f"{HUB_HOST}:{self._port + 2}"
 
     def controller(self, number: int) -> str:
-        """Where users and workers find a controller."""
+        """Address of a controller for users and workers."""
         return f"127.1.0.{number + 1}:{self._port + 3}"
 
     def controller_at(self, host: str) -> int | None:
-        """Which controller has this host address; None: no controller."""
+        """Returns the number of the controller with this host address, or None."""
         return int(host.rpartition(".")[2]) - 1 if host.startswith("127.1.0.") else None
 
     def controller_peers(self, number: int) -> str:
-        """Where a controller listens for the others."""
+        """Address at which a controller listens for its peers."""
         return f"127.1.0.{number + 1}:{self._port + 4}"
 
     def controller_name(self, number: int) -> str:
-        """`c0`, `c1`, ..."""
+        """Node name of a controller: `c0`, `c1`, ..."""
         return f"c{number}"
 
     def worker(self, process: int, number: int) -> str:
-        """A worker's address: its process's network, and a host number in it."""
+        """Address of a worker: a host number in the network of its process."""
         net = _FIRST_WORKER_NET + process
         return f"127.{net}.{number // _HOSTS_IN_NET}.{number % _HOSTS_IN_NET + 1}:{self.worker_port + process}"
 
     @property
     def worker_port(self) -> int:
-        """Workers of process N listen at this port and N, each at an address of its own."""
+        """Base port of the workers. Those of process N listen at this port plus N, each at its own host address."""
         return self._port + 10
 
     def _link(self, source: int, target: int) -> str:
         return f"127.2.{source + 1}.{target + 1}:{self._port + 5}"
 
     def peer_link(self, source: int, target: int) -> str:
-        """What controller `source` takes for the address of controller `target`."""
+        """Address that controller `source` is given for controller `target`."""
         return self._link(source, target)
 
     def state_link(self, source: int) -> str:
-        """What a controller takes for the state service's address."""
+        """Address that a controller is given for the state service."""
         return self._link(source, _STATE)
 
     def cloud_link(self, source: int) -> str:
-        """What a controller takes for the cloud's address."""
+        """Address that a controller is given for the cloud."""
         return self._link(source, _CLOUD)
 
     def forwards(self) -> list[Forward]:
-        """All links that are played by forwarding."""
-        count, found = self._settings.control.controllers, []
+        """Returns all links that are simulated by forwarding."""
+        count, forwards = self._settings.control.controllers, []
         for source in range(count):
             place = self.controller_place(source)
-            ways = ((self.state_link(source), self.state, "state"), (self.cloud_link(source), self.cloud, "cloud"))
-            for listen, to, link in ways:
+            service_links = (
+                (self.state_link(source), self.state, "state"),
+                (self.cloud_link(source), self.cloud, "cloud"),
+            )
+            for listen, to, link in service_links:
                 own = split_address(self.controller(source))[0]
                 role = f"controller-{link}"
-                found.append(Forward(listen, to, place, self.services, role, source, link, speaks_from=own))
+                forwards.append(Forward(listen, to, place, self.services, role, source, link, source_address=own))
             for target in range(count):
                 if target != source:
-                    found.append(
+                    forwards.append(
                         Forward(
                             self.peer_link(source, target),
                             self.controller_peers(target),
@@ -164,4 +167,4 @@
                             target,
                         )
                     )
-        return found
+        return forwards
--- a/src/tideusher/scale/messages.py
+++ b/src/tideusher/scale/messages.py
@@ -1,4 +1,4 @@
-"""What the processes of a scale run say to the one that runs it, and it to them: netstrings of JSON."""
+"""Messages between the processes of a scale run and the process that coordinates it: JSON in netstrings."""
 
 from collections.abc import Callable
 
@@ -8,20 +8,20 @@
 
 
 class HubMessage(msgspec.Struct, omit_defaults=True, tag_field="kind"):
-    """Base of all messages of a run."""
+    """Base class of all messages of a run."""
 
 
 # -------------------------------------------------------------------- from the processes
 
 
 class Ready(HubMessage, tag="ready"):
-    """First message: which process this is, and that it serves."""
+    """First message of a process: its name; it is ready to serve."""
 
     name: str
 
 
 class GangWaits(HubMessage, tag="gang-waits"):
-    """A gang's task has its image and waits for the others of its attempt."""
+    """A gang's task has its image and waits for the other tasks of its attempt."""
 
     job: str
     index: int
@@ -38,31 +38,31 @@
 
 
 class Stopped(HubMessage, tag="stopped"):
-    """Machines that were to stop have stopped: nothing of them runs any more."""
+    """The machines of a Stop message have stopped; none of their tasks runs any more."""
 
     order: int
 
 
 class LeaderSeen(HubMessage, tag="leader-seen"):
-    """The leader's key in the state service; empty: it was removed."""
+    """The node in the leader key of the state service; empty if the key was removed."""
 
     node: str
 
 
 class Traffic(msgspec.Struct):
-    """Messages and bytes, both ways."""
+    """Number of messages and bytes, in both directions."""
 
     messages: int = 0
     bytes: int = 0
 
     def add(self, size: int) -> None:
-        """One more message of this size."""
+        """Counts a message of `size` bytes."""
         self.messages += 1
         self.bytes += size
 
 
 class Counted(HubMessage, tag="counted"):
-    """Last message of a process: what it counted, by name, and the traffic by role or link."""
+    """Last message of a process: its counters by name, and its traffic by role or link."""
 
     name: str
     counts: dict[str, int] = {}
@@ -73,13 +73,13 @@
 
 
 class Begin(HubMessage, tag="begin"):
-    """The run begins at this steady time, which all processes of the machine share."""
+    """The run begins at this monotonic time; the clock is shared by all processes of the machine."""
 
     at_us: int
 
 
 class Booted(HubMessage, tag="booted"):
-    """A machine that is up from now on, played by the receiver under the given number of its addresses."""
+    """A machine is up from now on; the receiver simulates it at the address with the given number."""
 
     machine: str
     number: int
@@ -88,14 +88,14 @@
 
 
 class Stop(HubMessage, tag="stop"):
-    """Machines that stop at once with all that is on them; `order` is given back once they have."""
+    """Machines stop at once with all their tasks; Stopped returns `order` once they have."""
 
     order: int
     machines: list[str]
 
 
 class GangBegins(HubMessage, tag="gang-begins"):
-    """All tasks of a gang's attempt wait: they run from this time on."""
+    """All tasks of a gang's attempt are waiting; they run from this time on."""
 
     job: str
     attempt: int
@@ -103,20 +103,23 @@
 
 
 class GangBroken(HubMessage, tag="gang-broken"):
-    """A task of a gang that had begun is gone: the others end."""
+    """A task of a running gang exited or was lost; the other tasks end."""
 
     job: str
     attempt: int
 
 
 class Cut(HubMessage, tag="cut"):
-    """Which pairs of regions have lost each other, from now on."""
+    """The pairs of regions that are partitioned from now on."""
 
     pairs: list[tuple[int, int]]
 
 
 class LinkCut(msgspec.Struct, frozen=True):
-    """One link of a controller, or of all (`controller` None): `hold` keeps what is sent for later, else refused."""
+    """A cut link of one controller, or of all if `controller` is None.
+
+    With `hold`, data is kept and delivered later; otherwise connections are refused.
+    """
 
     controller: int | None
     link: str
@@ -124,17 +127,17 @@
 
 
 class LinkCuts(HubMessage, tag="link-cuts"):
-    """Which links of controllers are cut from now on."""
+    """The links of controllers that are cut from now on."""
 
     cuts: list[LinkCut]
 
     def find(self, controller: int, link: str) -> LinkCut | None:
-        """The cut of this controller's link, if there is one."""
-        return next((one for one in self.cuts if one.link == link and one.controller in (None, controller)), None)
+        """Returns the cut of this controller's link, if there is one."""
+        return next((cut for cut in self.cuts if cut.link == link and cut.controller in (None, controller)), None)
 
 
 class StateTroubles(HubMessage, tag="state-troubles"):
-    """What is wrong with the state service from now on; shares are of transactions."""
+    """The faults of the state service from now on; `late` and `lost` are shares of its transactions."""
 
     out: bool = False
     refused: list[int] = []
@@ -144,7 +147,7 @@
 
 
 class Afflict(HubMessage, tag="afflict"):
-    """What ails machines for so long: they hang, are deaf or mute, or are told that the cloud takes them."""
+    """A fault of machines for a time: they hang, are deaf or mute, or receive the cloud's recall notice."""
 
     machines: list[str]
     affliction: str
@@ -152,24 +155,24 @@
 
 
 class MessageTroubles(HubMessage, tag="message-troubles"):
-    """The share of reports of which a copy comes later, and of direct calls that are held up."""
+    """The share of reports that are duplicated with a delay, and of direct calls that are delayed."""
 
     copies: float = 0.0
     late_calls: float = 0.0
 
 
 class Quiet(HubMessage, tag="quiet"):
-    """All faults are over: nothing is submitted or cancelled any more."""
+    """All faults are over; users submit and cancel no more jobs."""
 
 
 class LeaderIn(HubMessage, tag="leader-in"):
-    """In which zone the leader is."""
+    """The zone of the leader."""
 
     zone: int
 
 
 class Finish(HubMessage, tag="finish"):
-    """The run is over: say what was counted, and end."""
+    """The run is over: the process sends its counters and ends."""
 
 
 Message = (
@@ -198,17 +201,17 @@
 
 
 def frame(message: Message) -> bytes:
-    """One message as a netstring."""
+    """Encodes a message as a netstring."""
     return encode_frame(_encode(message))
 
 
 class MessageDecoder(FrameDecoder[Message]):
-    """Turns received bytes into messages of a run."""
+    """Decodes received bytes into messages of a run."""
 
     def __init__(self) -> None:
         super().__init__(_decode)
 
 
-def is_cut(pairs: list[tuple[int, int]], one: int, other: int) -> bool:
-    """Have these two regions lost each other?"""
-    return (one, other) in pairs or (other, one) in pairs
+def is_cut(pairs: list[tuple[int, int]], region: int, other_region: int) -> bool:
+    """Returns whether two regions are partitioned."""
+    return (region, other_region) in pairs or (other_region, region) in pairs
--- a/src/tideusher/scale/state_service.py
+++ b/src/tideusher/scale/state_service.py
@@ -1,4 +1,4 @@
-"""The state service of a scale run, as a process: the stand-in with the limits, errors and delays of the protocol."""
+"""The state service process of a scale run: the stand-in with the protocol's limits, errors and delays added."""
 
 import random
 from bisect import bisect_right
@@ -25,33 +25,36 @@
 from tideusher.scale.settings import StateLimits, load_scale_settings
 from tideusher.wire.state import Delete, Guard, Put
 
+#: Limits of one page of a listing.
 MAX_ITEMS, MAX_PAGE_BYTES = 1000, 512 * 1024
 MAX_TXN_BYTES = 64 * 1024
+#: Changes kept in the log for watches; a watch from an earlier revision is refused.
 KEPT_CHANGES = 10_000
 MAX_WAIT_MS = 60_000
-#: Four times as many conditions as changes.
-GUARDS_A_WRITE = 4
-_EXPIRE_S = 0.05
-#: A late transaction is carried out after so long; callers have given it up by then, as one without an answer.
-LATE_S, NO_ANSWER_S = (2.0, 12.0), 5.0
+#: A transaction may have four times as many conditions as changes.
+GUARDS_PER_WRITE = 4
+_EXPIRE_INTERVAL_S = 0.05
+#: Range of the delay after which a late transaction is executed, and time after which a request without an answer is
+#: ended. Callers have given up by then in both cases.
+LATE_DELAY_S, UNANSWERED_HOLD_S = (2.0, 12.0), 5.0
 
-REASONS = {200: "200 OK", 400: "400 Bad Request", 404: "404 Not Found", 409: "409 Conflict", 410: "410 Gone"}
-REASONS |= {429: "429 Too Many Requests", 503: "503 Service Unavailable"}
+STATUS_LINES = {200: "200 OK", 400: "400 Bad Request", 404: "404 Not Found", 409: "409 Conflict", 410: "410 Gone"}
+STATUS_LINES |= {429: "429 Too Many Requests", 503: "503 Service Unavailable"}
 
 
 class LimitedStateServer(StateServer):
-    """The stand-in with rates and sizes, watches that wait without looking, and counts of what was written."""
+    """The stand-in with limits on rates and sizes, watches that block without polling, and counters of requests."""
 
     def __init__(
         self, clock: Clock, limits: StateLimits, controller_at: Callable[[str], int | None] = lambda host: None
     ) -> None:
-        """`controller_at`: whose request it is, by the address that it comes from."""
+        """`controller_at` maps a client's host address to the number of its controller, or None."""
         self._controller_at = controller_at
         super().__init__(clock, StateStandIn(round(limits.value_kb * 1024)))
         self._limits = limits
         self._requests, self._changes = TokenBucket(limits.rps, clock), TokenBucket(limits.write_rps, clock)
         self._changed = Event()
-        self._first_kept = 0  # changes up to this revision are no more in the log
+        self._first_kept = 0  # changes up to this revision have been dropped from the log
         self.counts: Counter[str] = Counter()
         self.on_leader: Callable[[str], None] = lambda node: None
         self._troubles, self._rng = StateTroubles(), random.Random("state troubles")
@@ -65,16 +68,16 @@
             self.counts["refused.troubles"] += 1
             status, answer = 503, {"error": "unavailable"}
         else:
-            asked = {name: [value] for name, value in query.items()}
-            status, answer = self._in_trouble(method, path, asked, body)
+            parameters = {name: [value] for name, value in query.items()}
+            status, answer = self._with_faults(method, path, parameters, body)
         data = answer if isinstance(answer, bytes) else msgspec.json.encode(answer)
-        start(REASONS[status], [("Content-Type", "application/json"), ("Content-Length", str(len(data)))])
+        start(STATUS_LINES[status], [("Content-Type", "application/json"), ("Content-Length", str(len(data)))])
         return [data]
 
     # ---------------------------------------------------------------- troubles
 
     def trouble(self, troubles: StateTroubles) -> None:
-        """What is wrong from now on. An outage that ends gives all leases that it met their full time again."""
+        """Replaces the active faults. After an outage, leases valid when it began get their full time again."""
         now_us = self._clock.now_us()
         if troubles.out and not self._troubles.out:
             self._out_since_us = now_us
@@ -87,28 +90,30 @@
     def _refuses(self, host: str) -> bool:
         return self._troubles.out or self._controller_at(host) in self._troubles.refused
 
-    def _in_trouble(self, method: str, path: str, query: dict[str, list[str]], body: bytes) -> tuple[int, Any]:
-        """One request; a transaction may be carried out late, or without its answer."""
+    def _with_faults(self, method: str, path: str, query: dict[str, list[str]], body: bytes) -> tuple[int, Any]:
+        """Handles a request. A transaction may be executed late, or executed without an answer in time."""
         drawn = self._rng.random()
         if path != "/txn" or drawn >= self._troubles.late + self._troubles.lost:
             return self._limited(method, path, query, body)
         if drawn < self._troubles.late:
             self.counts["txn late"] += 1
-            gevent.spawn_later(LATE_S[0] + (LATE_S[1] - LATE_S[0]) * self._rng.random(), self._late, body)
+            gevent.spawn_later(
+                LATE_DELAY_S[0] + (LATE_DELAY_S[1] - LATE_DELAY_S[0]) * self._rng.random(), self._execute_late, body
+            )
         else:
             self.counts["txn without answer"] += 1
             self._limited(method, path, query, body)
-        gevent.sleep(NO_ANSWER_S)
-        return 503, {"error": "unavailable"}  # nobody waits for it any more
+        gevent.sleep(UNANSWERED_HOLD_S)
+        return 503, {"error": "unavailable"}  # the caller has given up by now
 
-    def _late(self, body: bytes) -> None:
+    def _execute_late(self, body: bytes) -> None:
         if not self._troubles.out:
             self._limited("POST", "/txn", {}, body)
 
     def run(self) -> None:
-        """Let leases end, whoever asks or not."""
+        """Expires leases periodically, also without requests."""
         while True:
-            gevent.sleep(_EXPIRE_S)
+            gevent.sleep(_EXPIRE_INTERVAL_S)
             self._expire()
 
     # ---------------------------------------------------------------- limits
@@ -116,7 +121,7 @@
     def _limited(self, method: str, path: str, query: dict[str, list[str]], body: bytes) -> tuple[int, Any]:
         kind = path.split("/")[1]
         self.counts[f"requests.{kind}"] += 1
-        if not _take(self._requests, 1):
+        if not _take_tokens(self._requests, 1):
             self.counts["refused.requests"] += 1
             return 429, {"error": "too many requests"}
         if kind != "txn":
@@ -124,7 +129,7 @@
         writes = len(msgspec.json.decode(body)["writes"])
         if len(body) > MAX_TXN_BYTES or writes > self._limits.txn_ops:
             return 400, {"error": "too large"}
-        if not _take(self._changes, writes):
+        if not _take_tokens(self._changes, writes):
             self.counts["refused.writes"] += 1
             return 429, {"error": "too many changes"}
         return self._route(method, path, query, body)
@@ -135,20 +140,20 @@
         if path == "/watch":
             return self._watch(query)
         if path == "/keys":
-            return 200, self._page(query)
+            return 200, self._list(query)
         if path.startswith("/keys/"):
-            return self._one(path[len("/keys/") :])
+            return self._get(path[len("/keys/") :])
         if method == "DELETE" and path.startswith("/holds/"):
             return self._end_lease(int(path.split("/")[2]))
         return super()._route(method, path, query, body)
 
-    def _one(self, key: str) -> tuple[int, Any]:
+    def _get(self, key: str) -> tuple[int, Any]:
         if key not in self._state.items:
             return 404, {"tide": self._state.tide}
         value, stamp = self._state.items[key]
         return 200, {"key": key, "value": value, "stamp": stamp}
 
-    def _page(self, query: dict[str, list[str]]) -> dict[str, Any]:
+    def _list(self, query: dict[str, list[str]]) -> dict[str, Any]:
         under, since = query["under"][0], query.get("since", [""])[0]
         most = min(MAX_ITEMS, int(query.get("most", [str(MAX_ITEMS)])[0]))
         names = sorted(key for key in self._state.items if key.startswith(under) and key > since)
@@ -169,7 +174,9 @@
             if since < self._first_kept:
                 return 410, {"error": "too old", "tide": self._state.tide}
             first = bisect_right(self._log, since, key=lambda change: change["stamp"])
-            log = [one for one in self._log[first:] if (one.get("set") or one["remove"]).startswith(under)]
+            log = [
+                change for change in self._log[first:] if (change.get("set") or change["remove"]).startswith(under)
+            ]
             left_us = ends_us - self._clock.now_us()
             if log or left_us <= 0:
                 return 200, {"tide": self._state.tide, "log": log}
@@ -186,7 +193,7 @@
 
     def _txn(self, guards: list[Guard], writes: list[Put | Delete]) -> tuple[int, Any]:
         for write in writes:
-            if isinstance(write, Put) and write.lease is not None and not self._holds(write.lease):
+            if isinstance(write, Put) and write.lease is not None and not self._is_live(write.lease):
                 return 400, {"error": "no such lease"}
             if isinstance(write, Put) and len(msgspec.json.encode(write.value)) > self._state.value_bytes:
                 return 400, {"error": f"the value of {write.key} is too large"}
@@ -199,12 +206,12 @@
             self.counts["refused.guards"] += 1
         return status, answer
 
-    def _holds(self, lease: int) -> bool:
+    def _is_live(self, lease: int) -> bool:
         return self._leases.get(lease, (0, 0))[0] > self._clock.now_us()
 
     def _expire(self) -> None:
         if self._troubles.out:
-            return  # they get their full time again
+            return  # leases get their full time again when the outage ends
         before = self._state.tide
         super()._expire()
         if self._state.tide != before:
@@ -221,8 +228,8 @@
         self.on_leader(leader[0]["node"] if leader is not None else "")
 
 
-def _take(bucket: TokenBucket, amount: float) -> bool:
-    """Is there so much left? What is refused is given back."""
+def _take_tokens(bucket: TokenBucket, amount: float) -> bool:
+    """Takes `amount` from the bucket and returns True; if it is not available at once, takes nothing."""
     if bucket.wait_s(amount):
         bucket.give_back(amount)
         return False
@@ -230,7 +237,7 @@
 
 
 def kind_of(write: Put | Delete) -> str:
-    """What a change is for, by its key and value."""
+    """Returns the kind of a change, for the counters, by its key and value."""
     key, removed = write.key, isinstance(write, Delete)
     if key.startswith(keys.JOB_PREFIX):
         status = write.value.get("st") if isinstance(write, Put) else "removed"
@@ -248,24 +255,24 @@
 
 
 def main(arguments: list[str]) -> None:
-    """`state_service FILE`"""
+    """Runs the process: `state_service FILE`."""
     settings = load_scale_settings(arguments[0])
     layout = Layout(settings)
     server = LimitedStateServer(Clock(), settings.state, layout.controller_at)
     WSGIServer(split_address(layout.state), server, log=None, error_log=None, handler_class=Handler).start()
     gevent.spawn(server.run)
-    link, last = HubLink(layout.hub, "state"), [""]
+    link, last_leader = HubLink(layout.hub, "state"), [""]
 
-    def leader(node: str) -> None:
-        if node != last[0]:
-            last[0] = node
+    def report_leader(node: str) -> None:
+        if node != last_leader[0]:
+            last_leader[0] = node
             link.send(LeaderSeen(node))
 
     def handle(message: Message) -> None:
         if isinstance(message, StateTroubles):
             server.trouble(message)
 
-    server.on_leader = leader
+    server.on_leader = report_leader
     link.serve(handle, lambda: Counted("state", dict(server.counts)))
 
 
