--- a/src/tideusher/scale/endpoint.py
+++ b/src/tideusher/scale/endpoint.py
@@ -1,4 +1,4 @@
-"""A process's end of its connection to the hub: it ends with it."""
+"""A process's connection to the hub. The process ends when the connection does."""
 
 import os
 import signal
@@ -15,7 +15,7 @@
 
 
 class HubLink:
-    """Sends to the hub, and hands what it says to a function."""
+    """Sends messages to the hub, and passes received ones to a handler."""
 
     def __init__(self, address: str, name: str) -> None:
         self._name = name
@@ -25,7 +25,7 @@
         self._flushing = False
 
     def send(self, message: HubMessage) -> None:
-        """Sent as soon as the loop comes round, in order."""
+        """Queues a message; queued messages are sent in order on the next turn of the event loop."""
         self._unsent += frame(message)  # type: ignore[arg-type]
         if not self._flushing:
             self._flushing = True
@@ -39,14 +39,14 @@
         self._flushing = False
 
     def serve(self, handle: Callable[[Message], None], counted: Callable[[], Counted]) -> None:
-        """Say that this process is ready, and handle what the hub says until it says that the run is over."""
-        unframer = MessageDecoder()
+        """Reports the process as ready, then handles messages until the run is over or the connection is closed."""
+        decoder = MessageDecoder()
         self.send(Ready(self._name))
         while True:
             data = self._socket.recv(_RECEIVE_BYTES)
             if not data:
-                return  # the hub has ended: so does the run
-            for message in unframer.feed(data):
+                return  # the hub has ended, and the run with it
+            for message in decoder.feed(data):
                 if isinstance(message, Finish):
                     self.send(counted())
                     self._flush()
@@ -55,7 +55,7 @@
 
 
 def run_role(main: Callable[[list[str]], None]) -> None:
-    """Run one process of a scale run; an interrupt is the hub's to handle, which ends all of them."""
+    """Runs one process of a scale run. It ignores interrupts: the hub handles them and ends all processes."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     try:
         main(sys.argv[1:])
--- a/src/tideusher/scale/workload.py
+++ b/src/tideusher/scale/workload.py
@@ -1,4 +1,4 @@
-"""The users' jobs of a scale run, all derived from its seed: whoever knows a job's id knows its description."""
+"""The users' jobs of a scale run, derived from its seed: a job's id is enough to compute its description."""
 
 import random
 from dataclasses import dataclass
@@ -11,23 +11,23 @@
 from tideusher.scale.settings import JobClass, ScaleSettings
 from tideusher.wire.jobs import GANG, SERVICE, JobSpec
 
-#: An id is the class's number and the job's within it.
-_DIGITS = 7
-#: Tasks run from half to one and a half times their class's time.
-_LEAST, _SPREAD = 0.5, 1.0
+#: Digits of a job's number in its id, which follow the number of its class.
+_NUMBER_DIGITS = 7
+#: Tasks run from 0.5 to 1.5 times the run time of their class.
+_MIN_RUN_FACTOR, _RUN_FACTOR_RANGE = 0.5, 1.0
 _CANCEL_WITHIN_S = 30.0
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Submission:
-    """A job that a user submits, and perhaps cancels."""
+    """When a user submits a job and, unless `cancel_us` is None, cancels it."""
 
     at_us: int
     job: str
     cancel_us: int | None = None
 
 
-class _Draw(NamedTuple):
+class _DrawnValues(NamedTuple):
     tasks: int
     team: int
     image: int
@@ -35,91 +35,91 @@
 
 
 class Workload:
-    """Jobs by their id, and when which of them come."""
+    """Descriptions of jobs by id, and the schedule of their submissions."""
 
     def __init__(self, settings: ScaleSettings) -> None:
         self._settings, self._zones = settings, Layout(settings).zones
         self._specs: dict[str, JobSpec] = {}
 
     def job_class(self, job: str) -> JobClass:
-        """The class of a job; raises IndexError or ValueError for an id that is none of ours."""
-        return self._settings.classes[int(job[len("req-") : -_DIGITS])]
+        """Returns the class of a job; raises IndexError or ValueError for an id that is not of this run."""
+        return self._settings.classes[int(job[len("req-") : -_NUMBER_DIGITS])]
 
     def spec(self, job: str) -> JobSpec:
-        """A job's description."""
+        """Returns the description of a job."""
         spec = self._specs.get(job)
         if spec is None:
-            spec = self._specs[job] = self._describe(job, self.job_class(job))
+            spec = self._specs[job] = self._build_spec(job, self.job_class(job))
         return spec
 
     def run_us(self, job: str, index: int) -> int:
-        """How long a task runs once it has begun; a gang's all run as long."""
-        spec, one = self.spec(job), self.job_class(job)
+        """Returns the run time of a task once it has started; all tasks of a gang run equally long."""
+        spec, job_class = self.spec(job), self.job_class(job)
         member = 0 if spec.shape == GANG else index
-        return to_us(one.run_s * (_LEAST + _SPREAD * self._uniform(job, member)))
+        return to_us(job_class.run_s * (_MIN_RUN_FACTOR + _RUN_FACTOR_RANGE * self._uniform_value(job, member)))
 
     def submissions(self) -> list[Submission]:
-        """All jobs of the run in the order in which they come."""
-        found = []
-        for number, one in enumerate(self._settings.classes):
+        """Returns all submissions of the run, ordered by time."""
+        submissions = []
+        for number, job_class in enumerate(self._settings.classes):
             rng = random.Random(f"{self._settings.seed}/{number}/arrivals")
-            for count, at_s in enumerate(self._times(one, rng)):
-                cancel = rng.random() < one.cancelled
+            for count, at_s in enumerate(self._arrival_times_s(job_class, rng)):
+                cancel = rng.random() < job_class.cancelled
                 cancel_us = to_us(at_s + rng.random() * _CANCEL_WITHIN_S) if cancel else None
-                found.append(Submission(to_us(at_s), _job_id(number, count), cancel_us))
-        return sorted(found)
+                submissions.append(Submission(to_us(at_s), _job_id(number, count), cancel_us))
+        return sorted(submissions)
 
-    def _times(self, one: JobClass, rng: random.Random) -> list[float]:
-        """Those that are there at the start, those that keep coming, and the bursts."""
-        times = [0.0] * one.initial
+    def _arrival_times_s(self, job_class: JobClass, rng: random.Random) -> list[float]:
+        """Returns the arrival times of a class: the initial jobs, the Poisson arrivals and the bursts."""
+        times = [0.0] * job_class.initial
         at_s = 0.0
-        while one.per_minute:
-            at_s += rng.expovariate(one.per_minute / 60)
+        while job_class.per_minute:
+            at_s += rng.expovariate(job_class.per_minute / 60)
             if at_s >= self._settings.duration_s:
                 break
             times.append(at_s)
         for fault in self._settings.faults:
-            if fault.kind == "burst" and fault.job_class == one.name:
+            if fault.kind == "burst" and fault.job_class == job_class.name:
                 times += [fault.at_s] * fault.count
         return times
 
-    def _describe(self, job: str, one: JobClass) -> JobSpec:
-        drawn = self._draw(job, one)
+    def _build_spec(self, job: str, job_class: JobClass) -> JobSpec:
+        drawn = self._draw_values(job, job_class)
         return JobSpec(
             id=job,
-            job_class=one.name,
+            job_class=job_class.name,
             team=team_name(drawn.team),
-            shape=one.shape,
-            priority=one.priority,
+            shape=job_class.shape,
+            priority=job_class.priority,
             tasks=drawn.tasks,
-            cpus=one.cpus,
-            gpus=one.gpus,
-            ram_gb=one.ram_gb,
-            image=f"{one.name}-{drawn.image}",
-            image_gb=one.image_gb,
-            one_zone=one.one_zone,
-            zone=self._zones[drawn.zone] if one.in_a_zone else None,
-            spread=one.spread,
-            spot=one.spot,
-            estimate_s=0.0 if one.shape == SERVICE else one.run_s,
-            checkpoint_s=one.checkpoint_s,
-            save_s=one.save_s,
+            cpus=job_class.cpus,
+            gpus=job_class.gpus,
+            ram_gb=job_class.ram_gb,
+            image=f"{job_class.name}-{drawn.image}",
+            image_gb=job_class.image_gb,
+            one_zone=job_class.one_zone,
+            zone=self._zones[drawn.zone] if job_class.in_a_zone else None,
+            spread=job_class.spread,
+            spot=job_class.spot,
+            estimate_s=0.0 if job_class.shape == SERVICE else job_class.run_s,
+            checkpoint_s=job_class.checkpoint_s,
+            save_s=job_class.save_s,
         )
 
-    def _draw(self, job: str, one: JobClass) -> _Draw:
+    def _draw_values(self, job: str, job_class: JobClass) -> _DrawnValues:
         rng = random.Random(f"{self._settings.seed}/{job}")
-        tasks = rng.choices(one.sizes, one.weights or None)[0]
-        team, image = rng.randrange(self._settings.teams.count), rng.randrange(one.images)
-        return _Draw(tasks, team, image, rng.randrange(len(self._zones)))
+        tasks = rng.choices(job_class.sizes, job_class.weights or None)[0]
+        team, image = rng.randrange(self._settings.teams.count), rng.randrange(job_class.images)
+        return _DrawnValues(tasks, team, image, rng.randrange(len(self._zones)))
 
-    def _uniform(self, job: str, index: int) -> float:
+    def _uniform_value(self, job: str, index: int) -> float:
         return xxhash.xxh64_intdigest(f"{job}/{index}".encode(), self._settings.seed) / 2**64
 
 
 def team_name(number: int) -> str:
-    """`team-007`"""
+    """Name of a team, such as `team-007`."""
     return f"team-{number:03d}"
 
 
 def _job_id(class_number: int, count: int) -> str:
-    return f"req-{class_number}{count:0{_DIGITS}d}"
+    return f"req-{class_number}{count:0{_NUMBER_DIGITS}d}"
