--- a/src/tideusher/scale/soak_schedule.py
+++ b/src/tideusher/scale/soak_schedule.py
@@ -41,7 +41,7 @@
 WORKERS = (20, 48)
 #: Longest duration of a fault of machines.
 MAX_MACHINE_FAULT_S = 12.0
-#: Run time far beyond `cancel_s`: only such tasks reveal a cancellation that was not passed on to a worker.
+#: Run time far beyond `cancel_s`: only such tasks reveal that a cancellation did not reach everyone.
 LONG_RUN_S = 120.0
 #: Up to this many workers a larger fleet gets more jobs, beyond it larger ones. Fleets below it run with the small
 #: limits of the state service, others with the large ones.
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The pure parts of the soak: its schedules, what users are told, what is left waiting, and what a run shows."""
+"""The soak without running it: schedules, checks of users' answers, waiting tasks, and the findings of a run."""
 
 import msgspec
 import pytest
@@ -27,14 +27,14 @@
 
 
 @pytest.mark.parametrize("seed", [1, 10, 37])
-def test_a_seed_alone_says_what_is_played(seed):
+def test_schedule_depends_on_the_seed_alone(seed):
     one, other = draw(Plan(seed, 90.0, 21000)), draw(Plan(seed, 90.0, 21000))
     assert one == other and not impossible(one)
     assert one.fleet.workers == 300 if seed % 10 == 0 else 20 <= one.fleet.workers <= 48
     assert draw(Plan(seed + 1, 90.0, 21000)).faults != one.faults
 
 
-def test_over_fifty_seeds_each_fault_comes_and_two_overlap_in_nearly_all():
+def test_fifty_seeds_contain_every_fault_and_mostly_overlapping_ones():
     kinds, overlapping = set(), 0
     for seed in range(50):
         settings = draw(Plan(seed, 90.0, 21000))
@@ -52,14 +52,14 @@
     assert overlapping >= 40
 
 
-def test_some_tasks_that_are_cancelled_outlive_the_time_for_it():
-    """Without them the soak did not find a planted cancellation that nobody was told of."""
+def test_some_cancelled_tasks_would_run_beyond_the_cancellation_limit():
+    """Without such tasks the soak missed a planted fault: a cancellation of which nobody was notified."""
     settings = draw(Plan(1, 90.0, 21000))
     long = [one for one in settings.classes if one.shape != "service" and one.run_s / 2 > settings.workers.cancel_s]
     assert long and all(one.cancelled > 0.5 for one in long)
 
 
-def test_a_fleet_of_thousands_has_larger_jobs_and_can_be_played():
+def test_fleet_of_thousands_gets_larger_jobs_and_valid_settings():
     small, large = draw(Plan(7, 90.0, 21000, 400)), draw(Plan(7, 90.0, 21000, 4000))
     assert not impossible(large) and large.fleet.workers == 4000 and large.processes < 30
     assert [one.initial for one in large.classes] == [one.initial for one in small.classes]
@@ -67,11 +67,11 @@
 
 
 @pytest.mark.parametrize(("text", "seeds"), [("7", [7]), ("1-3", [1, 2, 3]), ("1-2,9", [1, 2, 9])])
-def test_seeds_are_a_list(text, seeds):
+def test_seed_lists_are_parsed(text, seeds):
     assert soak.parse_seeds(text) == seeds
 
 
-def test_what_is_no_list_of_seeds_is_one_clear_line(tmp_path):
+def test_invalid_arguments_of_the_soak_are_reported_in_one_line(tmp_path):
     with pytest.raises(ScaleError, match="--seeds 1-x"):
         soak.parse_seeds("1-x")
     run = CliRunner().invoke(main, ["soak", "--seeds", "x", "--out", str(tmp_path / "out")])
@@ -85,7 +85,7 @@
 # -------------------------------------------------------------------- troubles
 
 
-def test_troubles_that_overlap_are_told_as_one():
+def test_overlapping_faults_of_the_state_service_are_combined():
     faults = [
         Fault(1.0, "state_refuse", target="one", number=2),
         Fault(1.0, "state_refuse", target="one", number=1),
@@ -97,12 +97,12 @@
     assert state_troubles([Fault(1.0, "state_refuse", target="all")], 3).refused == [0, 1, 2]
 
 
-def test_a_cut_is_found_by_controller_and_link():
+def test_cut_is_found_by_controller_and_link():
     cuts = LinkCuts([LinkCut(1, "state"), LinkCut(None, "peers", hold=True)])
     assert cuts.find(1, "state") and not cuts.find(0, "state") and cuts.find(0, "peers").hold
 
 
-def limited(refused=(), **troubles):
+def limited_server(refused=(), **troubles):
     clock = Clock()
     layout = Layout(draw(Plan(1, 90.0, 21000)))
     server = LimitedStateServer(clock, StateLimits(), layout.controller_at)
@@ -110,8 +110,8 @@
     return clock, layout, server
 
 
-def test_whom_the_state_service_refuses_is_told_by_its_address():
-    _, layout, server = limited(refused=[1])
+def test_state_service_identifies_refused_controllers_by_address():
+    _, layout, server = limited_server(refused=[1])
     hosts = [layout.controller(number).partition(":")[0] for number in range(3)]
     assert [server._refuses(host) for host in hosts] == [False, True, False]
     assert not server._refuses("127.0.0.1")
@@ -119,8 +119,8 @@
     assert server._refuses(hosts[0])
 
 
-def test_an_outage_gives_leases_that_it_met_their_full_time_again():
-    clock, _, server = limited()
+def test_leases_valid_at_the_start_of_an_outage_get_their_full_time_again():
+    clock, _, server = limited_server()
     server._leases = {1: (2 * SECOND_US, 3 * SECOND_US), 2: (SECOND_US // 2, 3 * SECOND_US)}
     server._txn([Guard("t/leader", 0)], [Put("t/leader", {"node": "c0"}, 1)])
     clock.us = SECOND_US
@@ -146,13 +146,13 @@
     return one
 
 
-def test_answers_that_are_no_older_than_what_was_known_are_right(answers):
+def test_answers_no_older_than_the_known_state_are_accepted(answers):
     before = answers.known("j")
     assert answers.told("j", before, "pending", 0, "submit")
     assert not answers.told("j", answers.known("j"), "running", 3, "poll")
     answers.cancels("j")
     assert answers.told("j", answers.known("j"), CANCELLED, None, "cancel")
-    # asked before the cancellation was told: it may say what was so then
+    # requested before the cancellation was answered: the older state is allowed
     assert not answers.told("j", Known(True, "", 2), "running", 2, "poll")
     assert not answers.found
 
@@ -160,14 +160,14 @@
 @pytest.mark.parametrize(
     ("state", "done", "rule"), [("running", 9, WENT_BACK), (CANCELLED, None, WENT_BACK), ("pending", 0, WENT_BACK)]
 )
-def test_an_answer_that_is_older_than_an_end_that_was_told_is_found(answers, state, done, rule):
+def test_answer_older_than_a_reported_end_is_found(answers, state, done, rule):
     answers.cancels("j")
     answers.told("j", answers.known("j"), DONE, 9, "poll")
     answers.told("j", answers.known("j"), state, done, "poll")
     assert answers.found == [("j", rule)]
 
 
-def test_fewer_tasks_done_a_job_forgotten_and_one_cancelled_by_nobody_are_found(answers):
+def test_fewer_done_tasks_forgotten_job_and_unrequested_cancellation_are_found(answers):
     answers.told("j", answers.known("j"), "running", 5, "poll")
     answers.told("j", answers.known("j"), "running", 4, "poll")
     answers.refused("j", answers.known("j"), 404, "look")
@@ -180,8 +180,8 @@
 # -------------------------------------------------------------------- the judge
 
 
-def test_events_that_were_counted_are_on_disk_and_a_file_that_is_cut_short_is_known(tmp_path):
-    """A host that was ended between its last word and the end of its file had its last events missing."""
+def test_flushed_events_are_on_disk_and_truncated_file_is_detected(tmp_path):
+    """A host that ended between its last message and the end of writing its file had lost its last events."""
     path = tmp_path / "events-host-0.jsonl"
     log = events.EventLog(path)
     log.write(events.MachineDown(1, "m1"))
@@ -195,7 +195,7 @@
     return events.MachineUp(at_s * SECOND_US, name, zone, "scale", spot)
 
 
-def test_a_job_that_is_told_done_before_all_of_it_is_done_is_found():
+def test_job_reported_done_before_all_its_tasks_are_done_is_found():
     judge = Judge(jobs_of(spec_of("req-1", tasks=2), spec_of("req-2", "gang", tasks=2)), [Team("red")], 20.0)
     judge.take(up(0, "m1"))
     for job in ("req-1", "req-2"):
@@ -205,7 +205,7 @@
     assert [(one.rule, one.what.split()[0]) for one in judge.verdict.broken] == [(NOT_DONE, "req-1")]
 
 
-def test_what_users_were_told_wrong_is_judged_too():
+def test_wrong_answers_to_users_count_as_broken_rules():
     judge = Judge(jobs_of(), [], 20.0)
     judge.take(events.AnswerBroken(5, "req-1", WENT_BACK, "poll: running after done"))
     assert judge.end().counts[WENT_BACK] == 1
@@ -219,16 +219,16 @@
     return one
 
 
-def test_a_task_waits_beside_room_if_a_machine_could_take_it():
+def test_task_waits_beside_free_capacity_if_a_machine_could_run_it():
     assert waiting(spec_of("req-1", tasks=1)).beside_room() == {("req-1", 0)}
     assert not waiting(spec_of("req-1", tasks=1, zone="b")).beside_room()
     assert not waiting(spec_of("req-1", "gang", tasks=1)).beside_room()
     assert not waiting(spec_of("req-1", tasks=1), gpus_max=0.5).beside_room()
 
 
-def test_nobody_waits_beside_a_machine_that_is_full_gone_or_spot():
+def test_full_lost_and_spot_machines_are_no_free_capacity():
     one = waiting(spec_of("req-1", tasks=3))
-    for index in (0, 1):  # two cards a machine
+    for index in (0, 1):  # two GPUs per machine
         one.take(events.Ordered(2, "m1", "req-1", index, 1))
     assert not one.beside_room()
     one.take(up(3, "m2", spot=True))
@@ -253,7 +253,7 @@
         (100, 170, 8.0, set()),
     ],
 )
-def test_who_waits_beside_room_for_how_long_and_what_was_started_meanwhile(accepted_s, ordered_s, quiet_s, rules):
+def test_long_waits_beside_free_capacity_break_rules(accepted_s, ordered_s, quiet_s, rules):
     jobs = jobs_of(spec_of("req-1", tasks=1), spec_of("req-2", tasks=1))
     one, judge = Waiting(jobs, KIND, [Team("red")], 200 * SECOND_US), Judge(jobs, [Team("red")], 20.0)
     one.take(up(0, "m1"))
@@ -264,17 +264,17 @@
     assert {one.rule for one in judge.verdict.broken} == rules
 
 
-# -------------------------------------------------------------------- what a run shows
+# -------------------------------------------------------------------- findings of a run
 
 
-class Shown(msgspec.Struct):
+class RunResult(msgspec.Struct):
     rules_broken: dict[str, int]
     broken: list[Broken] = []
     notes: list[str] = []
     processes: dict[str, object] = {}
 
 
-def test_a_run_shows_broken_rules_violations_tracebacks_and_ends(tmp_path):
+def test_findings_are_broken_rules_violations_tracebacks_and_ended_processes(tmp_path):
     (tmp_path / "c0.log").write_text(
         "1.0 I leader: took over\n2.0 E invariants: place: req-1 on m1\n3.0 E leader: message go_on failed\n"
         "Traceback (most recent call last):\n  File \"x.py\", line 1, in go_on\n    next()\nKeyError: '1-1'\n"
@@ -282,14 +282,14 @@
     with (tmp_path / "events-host-0.jsonl").open("wb") as file:
         file.write(msgspec.json.encode(events.Ordered(7, "m1", "req-7", 0, 1)) + b"\n")
     broken = [Broken("wrong_place", 9, "req-7/0 attempt 1 on m1: a spot machine")]
-    found = look(Shown({"wrong_place": 1, "quota": 0}, broken, ["c1 ended by itself at 3.0 s"]), tmp_path, set())
+    found = look(RunResult({"wrong_place": 1, "quota": 0}, broken, ["c1 ended by itself at 3.0 s"]), tmp_path, set())
     assert found.broken[0] == "wrong_place: 1 times" and "Ordered" in found.broken[2]
     assert found.violations == ["c0: 2.0 E invariants: place: req-1 on m1"]
     assert found.tracebacks == ["c0: 3.0 E leader: message go_on failed; in go_on: KeyError: '1-1'"]
     assert found.ended == ["c1 ended by itself at 3.0 s"]
 
 
-def test_tracebacks_of_known_faults_are_named_and_passed_over(tmp_path):
+def test_tracebacks_of_known_faults_are_listed_but_not_counted(tmp_path):
     file = tmp_path / "KNOWN-RED.txt"
     assert soak.read_known(file) == ()
     file.write_text("tests/test_x.py::test_y | why | 1\nsoak:in _send: KeyError | why | 2\n")
@@ -298,13 +298,13 @@
     frame = 'Traceback (most recent call last):\n  File "x.py", line 1, in {}\n    x()\n{}: 1\n'
     traces = [frame.format(function, "KeyError") for function in ("_send", "go")]
     (tmp_path / "c0.log").write_text("".join(traces))
-    found = look(Shown({}), tmp_path, set(), known)
+    found = look(RunResult({}), tmp_path, set(), known)
     assert [one.partition("; ")[2] for one in found.known] == ["in _send: KeyError: 1"]
     assert [one.partition("; ")[2] for one in found.tracebacks] == ["in go: KeyError: 1"] and found.all
 
 
-def test_a_run_that_shows_nothing_is_found_to(tmp_path):
+def test_clean_run_and_uncounted_rules_have_no_findings(tmp_path):
     (tmp_path / "c0.log").write_text("1.0 I leader: took over\n")
-    assert not look(Shown({"wrong_place": 0}), tmp_path, set()).all
-    assert not look(Shown({RAN_CANCELLED: 2}), tmp_path, {RAN_CANCELLED}).all
+    assert not look(RunResult({"wrong_place": 0}), tmp_path, set()).all
+    assert not look(RunResult({RAN_CANCELLED: 2}), tmp_path, {RAN_CANCELLED}).all
     assert {RAN_CANCELLED, LEFT_WAITING} < TIMED and "wrong_place" not in TIMED
