--- a/src/tideusher/scale/soak.py
+++ b/src/tideusher/scale/soak.py
@@ -66,6 +66,8 @@
 
 @dataclass(slots=True)
 class _Running:
+    """A scale run in progress."""
+
     seed: int
     directory: Path
     popen: "subprocess.Popen[bytes]"
@@ -73,8 +75,8 @@
     attempt: int
 
 
-def play(soak: Soak, tell: Callable[[Outcome], None]) -> list[Outcome]:
-    """Runs all seeds and calls `tell` with each outcome as it arrives. Remaining processes are ended on any error."""
+def play(soak: Soak, on_outcome: Callable[[Outcome], None]) -> list[Outcome]:
+    """Runs all seeds and calls `on_outcome` as each one ends. Remaining processes are ended on any error."""
     waiting, running, outcomes = list(reversed(soak.seeds)), list[_Running](), list[Outcome]()
     try:
         while waiting or running:
@@ -87,7 +89,7 @@
                     running.append(_start_run(soak, run.seed, run.attempt + 1))
                     continue
                 outcomes.append(_judge(soak, run))
-                tell(outcomes[-1])
+                on_outcome(outcomes[-1])
     finally:
         for run in running:
             run.popen.terminate()
