--- a/src/tideusher/embed/instance.py
+++ b/src/tideusher/embed/instance.py
@@ -1,7 +1,7 @@
-"""An embedded instance: the daemon's decisions inside a program, on machines of its own.
+"""The embedded scheduler: runs the daemon's scheduling engine inside a program, on the program's own machines.
 
-One step takes what the program asked for and what its tasks reported, lets the engine decide, writes all
-of it with one `fdatasync`, and only then tells anybody: callers of `submit` and `cancel`, and `on_start`.
+One step collects the program's requests and the reports of its tasks, runs the engine, and persists all changes
+with one `fdatasync`. Only then are results visible outside: `submit` and `cancel` return, and `on_start` is called.
 """
 
 import logging
@@ -37,13 +37,13 @@
 OnStart = Callable[[Started], None]
 OnStop = Callable[[Started], None]
 
-#: How long a thread of ours sleeps when nothing is asked.
+#: Longest sleep of the instance's threads while there is nothing to do, in seconds.
 IDLE_S = 0.2
-#: Reports of a machine in one round at most; what is left then is for the next.
+#: Maximum exchanges of reports with a machine per round; the rest is left to the next round.
 DIGESTS = 4
 
-#: Instances of this process, for its children after a fork.
-_open: "weakref.WeakSet[Instance]" = weakref.WeakSet()
+#: Open instances of this process; a forked child closes their descriptors.
+_open_instances: "weakref.WeakSet[Instance]" = weakref.WeakSet()
 
 
 def small_job(
@@ -60,7 +60,7 @@
     estimate_s: float = 1.0,
     **more: Any,
 ) -> JobSpec:
-    """A job with the fields that matter inside a program; `more` are other fields of JobSpec by their names."""
+    """Returns a job with the fields that matter inside a program; `more` sets other fields of JobSpec by name."""
     fields: dict[str, Any] = {
         "image": "program",
         "image_gb": 0.0,
@@ -85,24 +85,24 @@
 
 
 def new_ref() -> str:
-    """A name that no other job has, as far as 18 random digits go."""
+    """Returns a job name with 18 random digits, which makes it unique for practical purposes."""
     return f"req-{10**17 + secrets.randbelow(9 * 10**17)}"
 
 
 class Instance:
-    """Places jobs on the machines of its program; `docs/embed.md` tells when to use it.
+    """Places jobs on the machines of its program; `docs/embed.md` describes when to use it.
 
-    Threads: every method may be called from any thread. `on_start` and `on_stop` are called one after the
-    other, outside of all locks, by the instance's own thread (`drive="thread"`, the default), by its greenlet
-    (`drive="greenlet"`, for programs on gevent), or by whoever calls `step`, `submit`, `cancel` or `wait`
-    (`drive="step"`). They should return soon and run the task elsewhere. An exception in `on_start` counts as
-    a failure of the task; one in `on_stop` is logged. A call-back must not `wait` for a job: nothing goes on
-    until it returns.
+    Threads: every method may be called from any thread. `on_start` and `on_stop` are called sequentially,
+    without any lock held, by the instance's own thread (`drive="thread"`, the default), by its greenlet
+    (`drive="greenlet"`, for programs on gevent), or by the caller of `step`, `submit`, `cancel` or `wait`
+    (`drive="step"`). They should return quickly and run the task elsewhere. An exception in `on_start` counts as
+    a failure of the task; one in `on_stop` is logged. A callback must not `wait` for a job: the instance makes
+    no progress until the callback returns.
 
-    Fork: a child process must not use its parent's instance (Forked); it may open one of its own elsewhere.
+    Fork: a child process must not use its parent's instance (Forked); it may open its own in another directory.
 
-    Errors: all are EmbedError. After a StorageError the instance is closed, and nothing that it was asked
-    since the last answer is acknowledged; a new one on the same directory has all that was acknowledged.
+    Errors: all are EmbedError. After a StorageError the instance is closed, and no request that was still
+    unanswered is acknowledged; a new instance on the same directory recovers everything that was acknowledged.
     """
 
     def __init__(
@@ -120,12 +120,13 @@
         snapshot_bytes: int | None = None,
         guard: Callable[[str], bool] | None = None,
     ) -> None:
-        """Open a directory: lock it, recover, and place what is open. Raises Locked, Damaged, StorageError.
+        """Locks and recovers a directory, and places its open jobs. Raises Locked, Damaged, StorageError.
 
-        `on_stop` is called for a task that is to end (`Started.grace_s` seconds to save); without it, tasks
-        have to look at `Started.stopping`. `repair` cuts off what is damaged at the journal's end.
-        `snapshot_bytes`: the journal's least length before a snapshot (bytes, default 4 MiB). `guard`: may
-        something start on this machine now? Asked right before `on_start`; a no withdraws the machine.
+        `on_stop` is called for a task that has to stop (`Started.grace_s` seconds to save); without it, tasks
+        have to check `Started.stopping`. `repair` truncates the journal where it is damaged at its end.
+        `snapshot_bytes` is the minimum length of the journal before a snapshot (bytes, default 4 MiB). `guard`
+        is called right before `on_start` with the machine's name and returns whether tasks may start there;
+        False withdraws the machine.
         """
         if drive not in ("thread", "greenlet", "step"):
             raise ValueError(f"drive: {drive!r} is not thread, greenlet or step")
@@ -143,21 +144,21 @@
         extra = {} if snapshot_bytes is None else {"snapshot_bytes": snapshot_bytes}
         self._state = Directory(directory, disk, repair, **extra)
         try:
-            self._begin(policy or Policy())
+            self._start_engine(policy or Policy())
         except BaseException:
             self._state.close()
             raise
-        _open.add(self)
+        _open_instances.add(self)
         if drive == "thread":
-            self._thread = threading.Thread(target=self._run, name="tideusher", daemon=True)
+            self._thread = threading.Thread(target=self._run_loop, name="tideusher", daemon=True)
             self._thread.start()
         elif drive == "greenlet":
             import gevent
 
-            self._greenlet = gevent.spawn(self._run)
+            self._greenlet = gevent.spawn(self._run_loop)
 
-    def _begin(self, policy: Policy) -> None:
-        """A new life: its token is higher than any before, and nothing that ran in an earlier one runs."""
+    def _start_engine(self, policy: Policy) -> None:
+        """Starts the engine with a token higher than any before; no task of an earlier process is running."""
         config, now_us = self._settings.config(), self._clock.now_us()
         token = self._state.journal.append([(keys.LEADER, {"node": "embedded", "pid": self._pid})])
         self._state.sync()
@@ -176,65 +177,67 @@
         cluster.rents_machines = False
         self._kinds = {kind.name: kind for kind in self._settings.kinds}
         self._machines: dict[str, LocalMachine] = {}
-        for one in self._settings.machines:
-            self._own(one, now_us)
-        self._synced = self._asked = token  # revisions: on the disk, and waited for by somebody
-        self._reported_us = 0
-        self._gathered_us = now_us
-        self._gather_us = to_us(policy.ledger__gather_s)
+        for card in self._settings.machines:
+            self._add_machine(card, now_us)
+        self._synced_revision = self._awaited_revision = token  # revisions: on the disk, and awaited by a caller
+        self._last_report_us = 0
+        self._last_gather_us = now_us
+        self._gather_interval_us = to_us(policy.ledger__gather_s)
 
-    # ---------------------------------------------------------------- what programs call
+    # ---------------------------------------------------------------- public interface
 
     def submit(self, spec: JobSpec) -> JobStatus:
-        """Accept a job; it is kept when this returns. A known ref gets that job's state. Raises Refused."""
+        """Accepts a job, which is durable on return. A known ref returns that job's state. Raises Refused."""
         return self.submit_many([spec])[0]
 
     def submit_many(self, specs: Sequence[JobSpec]) -> list[JobStatus]:
-        """Accept jobs together, with one write to the disk; all of them or, if one is Refused, none."""
+        """Accepts several jobs with one write to the disk; all of them or, if one is Refused, none."""
         with self._changed:
-            self._usable()
+            self._check_usable()
             fresh: dict[str, JobSpec] = {}
             for spec in specs:
                 if self._state.record_of(spec.id) is None:
-                    self._check(spec)
+                    self._check_spec(spec)
                     fresh.setdefault(spec.id, spec)
             wall_us = self._clock.wall_us()
             for spec in fresh.values():
                 self._write(spec.id, open_value(spec, wall_us))
             answers = [self._status(spec.id) for spec in specs]
-            revision = self._asked
-        self._kept(revision)
+            revision = self._awaited_revision
+        self._wait_durable(revision)
         return answers
 
     def cancel(self, job: str) -> JobStatus:
-        """Cancel a job; no task of it starts once this returns, and those that run are told to stop."""
-        return self._change(job, lambda value: {**value, "st": JOB_CANCELLED})
+        """Cancels a job; none of its tasks starts after this returns, and running tasks are requested to stop."""
+        return self._update_job(job, lambda value: {**value, "st": JOB_CANCELLED})
 
     def hold(self, job: str, by: str = "its program") -> JobStatus:
-        """Let nothing more of the job start; what runs goes on."""
-        return self._change(job, lambda value: held_value(value, by))
+        """Prevents further tasks of the job from starting; running tasks continue."""
+        return self._update_job(job, lambda value: held_value(value, by))
 
     def release(self, job: str) -> JobStatus:
-        """Let a held job go on."""
-        return self._change(job, lambda value: held_value(value, ""))
+        """Releases a held job."""
+        return self._update_job(job, lambda value: held_value(value, ""))
 
     def status(self, job: str) -> JobStatus:
-        """A job's state. Raises Refused if there is no such job."""
+        """Returns a job's state. Raises Refused if the job does not exist."""
         with self._lock:
-            self._usable()
-            status, revision = self._status(job), self._asked
-        if self._synced < revision:  # another thread's change may be queued only: kept before told
-            self._kept(revision)
+            self._check_usable()
+            status, revision = self._status(job), self._awaited_revision
+        if (
+            self._synced_revision < revision
+        ):  # another thread's change may only be queued: persist it before it is visible
+            self._wait_durable(revision)
         return status
 
     def wait(self, job: str, timeout_s: float | None = None) -> JobStatus:
-        """Return when the job is over, or after `timeout_s` seconds, with its state then."""
+        """Waits until the job has ended, for at most `timeout_s` seconds; returns its state at that time."""
         end = None if timeout_s is None else time.monotonic() + timeout_s
         while True:
             if self._drive == "step":
                 self.step()
             with self._changed:
-                self._usable()
+                self._check_usable()
                 status = self._status(job)
                 left = None if end is None else end - time.monotonic()
                 if status.status in (DONE, CANCELLED) or (left is not None and left <= 0):
@@ -248,75 +251,75 @@
         return self.status(job)
 
     def explain(self, job: str) -> dict[str, Any]:
-        """Why a job waits and why its tasks were stopped, as `GET /why` of the daemon."""
+        """Explains why a job waits and why its tasks were stopped, as `GET /why` of the daemon does."""
         with self._lock:
-            self._usable()
-            told = explain.explain_job(self._engine.cluster, job, self._clock.now_us())
-            if told is not None:
-                return told
+            self._check_usable()
+            explanation = explain.explain_job(self._engine.cluster, job, self._clock.now_us())
+            if explanation is not None:
+                return explanation
             status = self._status(job)
             reason = "It is done." if status.status == DONE else explain.describe_end(status.why or "")
             return {"job": job, "status": status.status, "reasons": [reason], "stops": []}
 
     def add_machine(self, card: Card) -> None:
-        """One more machine, of a kind that the settings declare. Its name must be new to this life."""
+        """Adds a machine of a declared kind. Its name must not have been used since the instance was opened."""
         with self._changed:
-            self._usable()
+            self._check_usable()
             if card.kind not in self._kinds:
-                raise Refused(f"machine {card.machine}: there is no kind {card.kind!r}")
+                raise Refused(f"machine {card.machine}: unknown machine kind {card.kind!r}")
             if card.machine in self._machines or card.machine in self._engine.cluster.gone:
-                raise Refused(f"machine {card.machine} is known already")
-            self._own(card, self._clock.now_us())
+                raise Refused(f"machine {card.machine}: this name has already been used")
+            self._add_machine(card, self._clock.now_us())
         self._wake.set()
 
     def withdraw_machine(self, machine: str, reason: str, grace_s: float = 0.0) -> None:
-        """Use a machine no more: what runs there is told to stop, and starts elsewhere once it has. Repeatable."""
+        """Withdraws a machine: its tasks are requested to stop and start elsewhere once they have. Idempotent."""
         with self._changed:
-            self._usable()
+            self._check_usable()
             self._engine.cluster.own_machines.withdraw(machine, reason, grace_s)
         self._wake.set()
 
     def machines(self) -> list[str]:
-        """Names of the machines in use, those that are being withdrawn included."""
+        """Returns the names of the machines in use, including those that are being withdrawn."""
         with self._lock:
             return sorted(self._machines)
 
     def teams(self) -> list[dict[str, Any]]:
-        """Ratios, charges, guarantees and present use."""
+        """Returns the ratios, charges, guarantees and current use of all teams."""
         with self._lock:
-            self._usable()
+            self._check_usable()
             return explain.teams(self._engine.cluster)
 
     def step(self) -> bool:
-        """One round for callers with a loop of their own; True if there is more to do at once.
+        """Runs one round, for programs with their own loop; True if there is more to do immediately.
 
-        To be called at least once a second, and after a task has ended.
+        Must be called at least once a second, and after a task has ended.
         """
         with self._changed:
-            self._usable()
+            self._check_usable()
             if self._stepping:  # called by on_start or on_stop
                 return False
             self._stepping = True
             try:
-                begun, ended, more = self._round()
+                to_start, to_stop, more = self._run_round()
                 self._changed.notify_all()
             finally:
                 self._stepping = False
-        for task in ended:
-            self._call_back(self._on_stop, task)
-        for task in begun:
+        for task in to_stop:
+            self._run_callback(self._on_stop, task)
+        for task in to_start:
             if self._guard is not None and not self._guard(task.machine):
-                # Decided in time, and late all the same: the process stood still in between.
-                self.withdraw_machine(task.machine, "it is not ours any more")
+                # The placement was valid when it was decided, but the process was paused since.
+                self.withdraw_machine(task.machine, "its guard no longer permits starts")
                 task.stopped()
-            elif not self._call_back(self._on_start, task):
+            elif not self._run_callback(self._on_start, task):
                 task.failed()
         return more or bool(self._exits)
 
     def close(self) -> None:
-        """Stop placing, and let others open the directory. Tasks that run are not told: they belong to the program.
+        """Stops placing and unlocks the directory. Running tasks are not notified: they belong to the program.
 
-        What ran is open again when the directory is opened next.
+        Their jobs are open again when the directory is opened next.
         """
         if os.getpid() != self._pid:
             return
@@ -336,22 +339,22 @@
     ) -> None:
         self.close()
 
-    # ---------------------------------------------------------------- inside
+    # ---------------------------------------------------------------- internals
 
-    def _usable(self) -> None:
+    def _check_usable(self) -> None:
         if os.getpid() != self._pid:
-            raise Forked("this instance is the parent process's; open one of your own")
+            raise Forked("this instance belongs to the parent process; open a new one in this process")
         if self._error is not None:
             raise self._error
 
-    def _own(self, card: Card, now_us: int) -> None:
+    def _add_machine(self, card: Card, now_us: int) -> None:
         cluster = self._engine.cluster
         cluster.own_machines.add([(card.machine, card.kind, card.zone)], now_us)
         cluster.machines[card.machine].images["program"] = 0.0
         cluster.pending_machines[card.machine] = cluster.machines[card.machine]
         self._machines[card.machine] = LocalMachine(card, self._kinds[card.kind], self._spec_of)
 
-    def _check(self, spec: JobSpec) -> None:
+    def _check_spec(self, spec: JobSpec) -> None:
         try:
             check_job(spec)
         except InvalidJob as error:
@@ -360,19 +363,19 @@
         if team is None:
             raise Refused(f"unknown team {spec.team}")
         if spec.gpus != int(spec.gpus):
-            raise Refused("gpus: cards are given out whole")
-        for one in spec.after or ():
-            if self._state.record_of(one.job) is None:
-                raise Refused(f"it is to start after {one.job}, and there is no such job")
+            raise Refused("gpus: must be a whole number")
+        for dependency in spec.after or ():
+            if self._state.record_of(dependency.job) is None:
+                raise Refused(f"after: there is no job {dependency.job}")
         at_once = 1 if spec.shape == BATCH else spec.tasks
         for name, need, limit in (("CPUs", spec.cpus, team.cpus_max), ("GPUs", spec.gpus, team.gpus_max)):
             if limit and need * at_once > limit + 1e-9:
-                raise Refused(f"the job needs {need * at_once:g} {name}, team {team.name} may use {limit:g}")
+                raise Refused(f"the job needs {need * at_once:g} {name}, the limit of team {team.name} is {limit:g}")
         for kind in self._kinds.values():
             fits = kind.cpus >= spec.cpus and kind.gpus >= spec.gpus and kind.ram_gb >= spec.ram_gb
             if fits and (spec.types is None or kind.name in spec.types):
                 return
-        raise Refused("a task fits none of the kinds of machines")
+        raise Refused("a task does not fit any declared machine kind")
 
     def _spec_of(self, job: str) -> JobSpec | None:
         known = self._engine.cluster.jobs.get(job)
@@ -390,69 +393,69 @@
         live, done = (len(known.live), known.done_count) if known is not None else (0, 0)
         return JobStatus(job, RUNNING if live else PENDING, done, live, held=value.get("hold"))
 
-    def _change(self, job: str, change: Callable[[dict[str, Any]], dict[str, Any]]) -> JobStatus:
+    def _update_job(self, job: str, change: Callable[[dict[str, Any]], dict[str, Any]]) -> JobStatus:
         with self._changed:
-            self._usable()
+            self._check_usable()
             value = self._state.record_of(job)
             if value is None:
                 raise Refused(f"there is no job {job}")
             if value["st"] == OPEN and change(value) != value:
                 self._write(job, change(value))
             status = self._status(job)
-            revision = self._asked
-        self._kept(revision)
+            revision = self._awaited_revision
+        self._wait_durable(revision)
         return status
 
     def _write(self, job: str, value: dict[str, Any]) -> None:
-        """Queue a job's own record, and let the engine know; `_kept` must follow before anybody is told."""
+        """Queues a job's record and updates the engine; acknowledged only after `_wait_durable`."""
         key = keys.job_key(job)
         value = msgspec.to_builtins(value)
         stamp = self._state.write([Guard(key, self._state.stamp_of(key))], [Put(key, value)])
         assert stamp is not None
-        self._asked = stamp
+        self._awaited_revision = stamp
         self._engine.cluster.job_changed(job, value, stamp, self._clock.now_us())
 
-    def _kept(self, revision: int) -> None:
-        """Return when what was written up to this revision is on the disk: with the next round's write.
+    def _wait_durable(self, revision: int) -> None:
+        """Waits until everything up to this revision is on the disk, which is done by the next round's write.
 
-        So an acceptance, the places that follow from it, and whatever other threads ask meanwhile share
-        one write. Raises StorageError if it failed.
+        An accepted job, the resulting placements and concurrent requests of other threads thus share one write.
+        Raises StorageError if it failed.
         """
         self._wake.set()
         if self._drive == "step" and not self._stepping:
             while self.step():
                 pass
         with self._changed:
-            while self._synced < revision:
-                self._usable()
+            while self._synced_revision < revision:
+                self._check_usable()
                 if self._drive == "thread" and threading.current_thread() is not self._thread:
                     self._changed.wait(IDLE_S)
                 else:
-                    self._sync()  # a greenlet, or a call out of on_start: nobody else would
+                    self._sync()  # a greenlet, or a call from on_start: no other thread would sync
 
     def _sync(self) -> None:
         revision = self._state.journal.revision
         try:
             self._state.sync()
         except StorageError as error:
-            self._over(error)
+            self._fail(error)
             raise
-        self._synced = revision
+        self._synced_revision = revision
 
-    def _over(self, error: EmbedError) -> None:
+    def _fail(self, error: EmbedError) -> None:
         self._error = error
         self._state.close()
         self._changed.notify_all()
         self.log.error("%s", error)
 
-    def _run(self) -> None:
+    def _run_loop(self) -> None:
         while True:
             try:
                 more = self.step()
             except EmbedError:
-                return  # closed, or its directory failed: whoever calls next is told
+                return  # closed, or its directory failed: the next call raises the error
             except Exception:
-                self.log.exception("a round failed")
+                self.log.exception("scheduling round failed")
                 more = False
             if not more:
                 if self._drive == "greenlet":
@@ -463,90 +466,93 @@
                     self._wake.wait(IDLE_S)
                     self._wake.clear()
 
-    def _round(self) -> tuple[list[Started], list[Started], bool]:
-        """Exits and changes in, decisions, one write; returns what to start and to stop, and if there is more."""
+    def _run_round(self) -> tuple[list[Started], list[Started], bool]:
+        """Applies exits, runs the engine and persists the result.
+
+        Returns the tasks to start, the tasks to stop, and whether another round is due at once.
+        """
         engine, now_us = self._engine, self._clock.now_us()
         while self._exits:
             task, cause, kept = self._exits.popleft()
             if task.machine not in self._machines:
-                continue  # said again, after its machine has left
+                continue  # a repeated report, after its machine was removed
             self._machines[task.machine].exited(task, cause, kept)
             engine.cluster.pending_machines[task.machine] = engine.cluster.machines[task.machine]
-        if now_us - self._gathered_us >= self._gather_us:
-            self._gathered_us = now_us
+        if now_us - self._last_gather_us >= self._gather_interval_us:
+            self._last_gather_us = now_us
             engine.cluster.gather(now_us)
-        told = self._digest(now_us)
+        commands_by_machine = self._process_reports(now_us)
         engine.cluster.own_machines.refresh_contact(now_us)
         more = engine.tick(now_us)
         while more:
             more = engine.continue_pass()
-        self._persist(now_us)
-        begun: list[Started] = []
-        ended: list[Started] = []
-        for left in reversed(range(DIGESTS)):
-            for machine, commands in told:
-                started, stopped = machine.execute(commands, self._exited)
-                begun += started
-                ended += stopped
-                if machine.changed or machine.has_exited:  # it is to be forgotten, now that its end is kept
+        self._persist_batches(now_us)
+        to_start: list[Started] = []
+        to_stop: list[Started] = []
+        for exchanges_left in reversed(range(DIGESTS)):
+            for machine, commands in commands_by_machine:
+                started, stopped = machine.execute(commands, self._task_exited)
+                to_start += started
+                to_stop += stopped
+                if machine.changed or machine.has_exited:  # its end is durable: the engine may have it forgotten
                     engine.cluster.pending_machines[machine.name] = engine.cluster.machines[machine.name]
-            told = self._digest(now_us) if left else []
-            if not told:
+            commands_by_machine = self._process_reports(now_us) if exchanges_left else []
+            if not commands_by_machine:
                 break
         for name in engine.cluster.own_machines.remove_drained(now_us):
             del self._machines[name]
-        engine.orders()  # what goes to machines directly went with their reports
+        engine.orders()  # discarded: the machines got these commands in reply to their reports
         try:
             if self._state.tidy(lambda job: job in engine.cluster.jobs):
                 self.log.debug("snapshot at revision %d", self._state.journal.revision)
         except (StorageError, Damaged) as error:
-            self._over(error)
+            self._fail(error)
             raise
-        return begun, ended, engine.cluster.dirty or bool(engine.cluster.pending_machines)
+        return to_start, to_stop, engine.cluster.dirty or bool(engine.cluster.pending_machines)
 
-    def _persist(self, now_us: int) -> None:
-        """Queue all that is to be written, then one write to the disk for all of it.
+    def _persist_batches(self, now_us: int) -> None:
+        """Queues all pending batches and persists them with one write to the disk.
 
-        Effects that only lead to more records are let go when theirs is queued: the journal keeps its
-        order, so none is kept without what it rests on. What is told to anybody outside, a task's start
-        above all, goes with the reports, after this has returned.
+        Effects that only lead to more records are released as soon as their own batch is queued: the journal
+        preserves order, so no record is durable without those that it depends on. Effects that are visible
+        outside, above all the start of a task, are sent with the reports, after this has returned.
         """
-        engine, told = self._engine, False
+        engine, has_effects = self._engine, False
         while (batch := engine.batch()) is not None:
             revision = self._state.write(batch.guards, batch.writes)
-            if revision is None:  # a job's record changed since: write what still holds
+            if revision is None:  # a job's record has changed since: retry with what is still valid
                 engine.batch_failed(self._state.stamp_of, unknown=False)
                 continue
-            told = told or any(batch.effects)
+            has_effects = has_effects or any(batch.effects)
             engine.batch_committed(revision, now_us)
-        if told or self._synced < self._asked:
+        if has_effects or self._synced_revision < self._awaited_revision:
             self._sync()
 
-    def _digest(self, now_us: int) -> list[tuple[LocalMachine, list[Command]]]:
-        """Machines where something changed, or for which there is a command, report; all of them now and then.
+    def _process_reports(self, now_us: int) -> list[tuple[LocalMachine, list[Command]]]:
+        """Processes reports of machines with changes or pending commands, and periodically those of all machines.
 
-        What the answers command is done after the round's write: it may be the end of what is cancelled
-        in this round, and that is kept first.
+        The returned commands are executed after the round's write: they may stop tasks of a job that is
+        cancelled in this round, and the cancellation must be durable first.
         """
         cluster = self._engine.cluster
-        if now_us - self._reported_us >= to_us(REPORT_S) // 2:
-            self._reported_us = now_us
+        if now_us - self._last_report_us >= to_us(REPORT_S) // 2:
+            self._last_report_us = now_us
             cluster.pending_machines.update(cluster.machines)
         pending_machines = [
             self._machines[name] for name in sorted(cluster.pending_machines)
-        ]  # whatever order the program has
+        ]  # sorted: the order of the program's changes must not matter
         cluster.pending_machines.clear()
         answer, token = self._engine.reports.answer, self._engine.token
         return [(machine, answer(machine.report(token), now_us)) for machine in pending_machines]
 
-    def _exited(self, task: Started, cause: str, kept: bool) -> None:
-        """Called by the program, in any thread, with or without the lock."""
+    def _task_exited(self, task: Started, cause: str, kept: bool) -> None:
+        """Records the end of a task; called by the program, in any thread, with or without the lock."""
         if os.getpid() != self._pid:
-            raise Forked("this task is the parent process's")
+            raise Forked("this task belongs to the parent process")
         self._exits.append((task, cause, kept))
         self._wake.set()
 
-    def _call_back(self, function: Callable[[Started], None] | None, task: Started) -> bool:
+    def _run_callback(self, function: Callable[[Started], None] | None, task: Started) -> bool:
         try:
             if function is not None:
                 function(task)
@@ -555,14 +561,14 @@
             self.log.exception("%s of %s failed", "on_start" if function is self._on_start else "on_stop", task.name)
             return False
 
-    def _in_child(self) -> None:
+    def _leave_to_parent(self) -> None:
         self._state.leave_to_parent()
 
 
 def _after_fork() -> None:
-    for instance in list(_open):
-        instance._in_child()
-    _open.clear()
+    for instance in list(_open_instances):
+        instance._leave_to_parent()
+    _open_instances.clear()
 
 
 os.register_at_fork(after_in_child=_after_fork)
--- a/tests/test_embed.py
+++ b/tests/test_embed.py
@@ -98,11 +98,11 @@
     "fields, words",
     [
         ({"team": "nobody"}, "unknown team"),
-        ({"gpus": 0.5}, "cards are given out whole"),
-        ({"gpus": 5.0}, "fits none of the kinds"),
-        ({"gpus": 4.0, "tasks": 4, "shape": "gang"}, "may use 12"),
+        ({"gpus": 0.5}, "gpus: must be a whole number"),
+        ({"gpus": 5.0}, "does not fit any declared machine kind"),
+        ({"gpus": 4.0, "tasks": 4, "shape": "gang"}, "the limit of team red is 12"),
         ({"tasks": 0}, "pieces"),
-        ({"after": [After("afterok", "req-9")]}, "there is no such job"),
+        ({"after": [After("afterok", "req-9")]}, "after: there is no job req-9"),
     ],
 )
 def test_what_can_never_run_is_refused_and_nothing_of_it_is_kept(program, fields, words):
@@ -238,8 +238,8 @@
     with instance._lock:
         value = instance._state.record_of("req-1")
         instance._write("req-1", {**value, "st": "cancelled"})
-    assert instance._synced < instance._asked
-    assert instance.status("req-1").status == "withdrawn" and instance._synced >= instance._asked
+    assert instance._synced_revision < instance._awaited_revision
+    assert instance.status("req-1").status == "withdrawn" and instance._synced_revision >= instance._awaited_revision
 
 
 def test_instances_do_not_share_a_directory_but_a_process(tmp_path):
