--- a/examples/advice.py
+++ b/examples/advice.py
@@ -1,6 +1,6 @@
-"""An advice service that keeps its own replicas: three at all times, whatever fails, beside training in spare room.
+"""An advice service that keeps three replicas running despite failures, and trains on the spare capacity.
 
-`python examples/advice.py [--seconds N]`. Driven by the program's own loop: no thread but this one.
+`python examples/advice.py [--seconds N]`. Driven by the program's own loop, in a single thread.
 """
 
 import random
@@ -20,22 +20,22 @@
 
 
 class Program:
-    """Keeps what runs; the work itself is a stand-in."""
+    """Tracks running tasks; the work itself is simulated."""
 
     def __init__(self, rng: random.Random) -> None:
         self.running: dict[str, Started] = {}
         self.rng = rng
 
     def on_start(self, task: Started) -> None:
-        """Begin to answer, or to train."""
+        """Starts a replica or a training task."""
         self.running[task.name] = task
 
     def on_stop(self, task: Started) -> None:
-        """Training makes way; a replica hands over first, in a real program."""
+        """Stops the task at once; in a real program, a replica would hand over its requests first."""
         self.running.pop(task.name).stopped(kept=True)
 
-    def one_turn(self) -> None:
-        """Now and then a replica fails."""
+    def fail_randomly(self) -> None:
+        """Fails each replica with a small probability."""
         for name, task in list(self.running.items()):
             if task.job.shape == "service" and self.rng.random() < 0.002:
                 self.running.pop(name).failed()
@@ -44,8 +44,8 @@
 @click.command()
 @click.option("--seconds", default=5.0, show_default=True, help="How long to serve.")
 def main(seconds: float) -> None:
-    """Serve, and say how much of the replica time there was."""
-    program, turns, there = Program(random.Random(1)), 0, 0
+    """Serves, and prints the fraction of the replica time that was available."""
+    program, rounds, replicas_up = Program(random.Random(1)), 0, 0
     with Instance(tempfile.mkdtemp(), SETTINGS, program.on_start, program.on_stop, drive="step") as instance:
         instance.submit(small_job("req-000002", "training", tasks=50, gpus=1.0, estimate_s=600.0))
         instance.submit(
@@ -53,13 +53,15 @@
         )
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            program.one_turn()
+            program.fail_randomly()
             while instance.step():
                 pass
-            turns += 1
-            there += sum(task.job.shape == "service" for task in program.running.values())
+            rounds += 1
+            replicas_up += sum(task.job.shape == "service" for task in program.running.values())
             time.sleep(0.02)
-        click.echo(f"{there / (3 * turns):.0%} of the replica time; {instance.explain('req-000002')['reasons'][0]}")
+        click.echo(
+            f"{replicas_up / (3 * rounds):.0%} of the replica time; {instance.explain('req-000002')['reasons'][0]}"
+        )
 
 
 if __name__ == "__main__":
--- a/examples/renderer.py
+++ b/examples/renderer.py
@@ -1,7 +1,7 @@
-"""A tile renderer that places its own small jobs: thousands of short ones on the cards of its machine.
+"""A tile renderer that schedules thousands of short jobs on the GPUs of its machine.
 
-`python examples/renderer.py [--jobs N] [--directory DIR]`. Killed and started again with the same directory, it
-goes on with what was not rendered. The rendering itself is a stand-in.
+`python examples/renderer.py [--jobs N] [--directory DIR]`. If it is killed and restarted with the same directory,
+it continues with the tiles that were not rendered. The rendering itself is simulated.
 """
 
 import queue
@@ -21,9 +21,9 @@
 )
 
 
-def render(todo: "queue.SimpleQueue[Started | None]", seconds: float) -> None:
-    """A worker thread: one tile after the other, each on the card that it was given."""
-    while (task := todo.get()) is not None:
+def render(task_queue: "queue.SimpleQueue[Started | None]", seconds: float) -> None:
+    """Renders tiles one after the other in a worker thread, each on its assigned GPU."""
+    while (task := task_queue.get()) is not None:
         end = time.monotonic() + seconds
         while time.monotonic() < end and not task.stopping:
             time.sleep(min(0.01, seconds))
@@ -35,17 +35,17 @@
 
 @click.command()
 @click.option("--jobs", default=2_000, show_default=True, help="Tiles to render.")
-@click.option("--seconds", default=2.0, show_default=True, help="How long one takes.")
-@click.option("--directory", help="Where the state is kept; by default for this run only.")
+@click.option("--seconds", default=2.0, show_default=True, help="Time to render a tile.")
+@click.option("--directory", help="Directory of the state; a temporary one by default.")
 def main(jobs: int, seconds: float, directory: str | None) -> None:
-    """Render all tiles, and say how many are done."""
-    todo: queue.SimpleQueue[Started | None] = queue.SimpleQueue()
-    threads = [threading.Thread(target=render, args=(todo, seconds), daemon=True) for _ in range(4)]
+    """Renders all tiles, and prints how many are done."""
+    task_queue: queue.SimpleQueue[Started | None] = queue.SimpleQueue()
+    threads = [threading.Thread(target=render, args=(task_queue, seconds), daemon=True) for _ in range(4)]
     for thread in threads:
         thread.start()
     refs = [f"req-{number:09d}" for number in range(1, jobs + 1)]
-    with Instance(directory or tempfile.mkdtemp(), SETTINGS, on_start=todo.put) as instance:
-        for first in range(0, jobs, 100):  # a hundred acceptances share one write
+    with Instance(directory or tempfile.mkdtemp(), SETTINGS, on_start=task_queue.put) as instance:
+        for first in range(0, jobs, 100):  # one write to the disk per hundred jobs
             instance.submit_many(
                 [small_job(ref, "previews" if ref.endswith("0") else "tiles", gpus=1.0, estimate_s=seconds)
                  for ref in refs[first : first + 100]]
@@ -53,7 +53,7 @@
         done = sum(instance.wait(ref).status == "done" for ref in refs)
         click.echo(f"{done} of {jobs} tiles are rendered")
     for _ in threads:
-        todo.put(None)
+        task_queue.put(None)
 
 
 if __name__ == "__main__":
--- a/src/tideusher/embed/__init__.py
+++ b/src/tideusher/embed/__init__.py
@@ -1,6 +1,6 @@
-"""The scheduler inside a program: the same decisions as the daemon, on machines of the program's own.
+"""The embeddable scheduler: the daemon's scheduling decisions inside a program, on the program's own machines.
 
-Importing it starts nothing and loads no web server; see `docs/embed.md`.
+Importing it starts no threads and loads no web server; see `docs/embed.md`.
 """
 
 from tideusher.embed.errors import Closed, Damaged, EmbedError, Forked, Locked, Refused, StorageError
--- a/src/tideusher/embed/archive.py
+++ b/src/tideusher/embed/archive.py
@@ -1,7 +1,7 @@
-"""Finished jobs, out of memory: a table of an SQLite file, a checksum a row, looked up by name.
+"""The archive of finished jobs: an SQLite table with one checksum per row, looked up by job name.
 
-The journal keeps what is open; what is over goes here before the next snapshot leaves it out, so that
-memory and recovery follow open jobs and not history. A row may be written twice and is never changed.
+The journal holds open jobs. Finished ones are archived before the next snapshot omits them, so that memory use and
+recovery time depend on open jobs and not on history. A row may be written twice, but its contents never change.
 """
 
 import os
@@ -19,14 +19,14 @@
 
 
 class Archive:
-    """One file, opened when something is first written or looked up."""
+    """An archive file, opened on the first write or lookup."""
 
     def __init__(self, directory: str) -> None:
         self._path = os.path.join(directory, "finished.sqlite")
         self._db: sqlite3.Connection | None = None
 
     def put(self, records: Iterable[tuple[str, dict[str, Any]]]) -> None:
-        """Keep final records; on the disk when this returns. Raises StorageError."""
+        """Stores final records durably. Raises StorageError."""
         rows = [(name, *_row(name, record)) for name, record in records]
         try:
             with self._open() as db:
@@ -35,7 +35,7 @@
             raise StorageError(f"{self._path}: {error}") from None
 
     def get(self, name: str) -> dict[str, Any] | None:
-        """A finished job's record, or None. Raises Damaged."""
+        """Returns a finished job's record, or None. Raises Damaged."""
         if self._db is None and not os.path.exists(self._path):
             return None
         try:
@@ -49,18 +49,18 @@
         return _decode(row[0])
 
     def close(self) -> None:
-        """Let go of the file."""
+        """Closes the file."""
         if self._db is not None:
             self._db.close()
             self._db = None
 
     def leave_to_parent(self) -> None:
-        """In a child after a fork: SQLite's connections must not be used there, nor closed."""
+        """In a forked child: drops the connection, as SQLite connections must be neither used nor closed there."""
         self._db = None
 
     def _open(self) -> sqlite3.Connection:
         if self._db is None:
-            # The owner's lock lets one thread at a time in here.
+            # The owner's lock serializes access from different threads.
             self._db = sqlite3.connect(self._path, check_same_thread=False)
             self._db.execute("PRAGMA journal_mode = WAL")
             self._db.execute("PRAGMA synchronous = FULL")
--- a/src/tideusher/embed/disk.py
+++ b/src/tideusher/embed/disk.py
@@ -1,34 +1,34 @@
-"""The few calls to the operating system that storage rests on, so that tests can make them fail."""
+"""The system calls used for storage, in one class so that tests can inject faults."""
 
 import os
 
 
 class Disk:
-    """Plain files. Every method raises OSError as the system does."""
+    """File operations. Every method raises OSError as the system call does."""
 
     def write(self, fd: int, data: bytes) -> None:
-        """All of it, or OSError."""
+        """Writes all of the data, or raises OSError."""
         view = memoryview(data)
         while view:
             written = os.write(fd, view)
             if not written:
-                raise OSError("the system wrote nothing")
+                raise OSError("write returned 0 bytes")
             view = view[written:]
 
     def sync(self, fd: int) -> None:
-        """What was written is on the disk."""
+        """Flushes written data to the disk."""
         os.fdatasync(fd)
 
     def replace(self, source: str, target: str) -> None:
-        """Rename over what is there."""
+        """Renames a file, replacing an existing target."""
         os.replace(source, target)
 
     def remove(self, path: str) -> None:
-        """Delete a file."""
+        """Deletes a file."""
         os.unlink(path)
 
     def sync_directory(self, path: str) -> None:
-        """What was created, renamed and removed in it is on the disk."""
+        """Flushes the creation, renaming and removal of files in a directory to the disk."""
         fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(fd)
--- a/src/tideusher/embed/errors.py
+++ b/src/tideusher/embed/errors.py
@@ -1,20 +1,20 @@
-"""What can go wrong with an embedded instance."""
+"""Exceptions of embedded instances."""
 
 
 class EmbedError(Exception):
-    """Base of all errors of `tideusher.embed`; the text is one line."""
+    """Base of all errors of `tideusher.embed`; the message is a single line."""
 
 
 class StorageError(EmbedError):
-    """The directory did not take a write. Nothing that it was asked is acknowledged; reopen the instance."""
+    """A write to the directory failed. No pending request is acknowledged; reopen the instance."""
 
 
 class Locked(StorageError):
-    """Another instance, in this process or another, has the directory."""
+    """Another instance, in this process or another one, has the directory open."""
 
 
 class Damaged(StorageError):
-    """What is stored is not what was written; the text names the file and the place."""
+    """Stored data is corrupted; the message names the file and the position."""
 
 
 class Closed(EmbedError):
@@ -22,8 +22,8 @@
 
 
 class Forked(EmbedError):
-    """This process is a child of the one that opened the instance; it must open one of its own."""
+    """This process is a child of the one that opened the instance; it must open its own."""
 
 
 class Refused(EmbedError):
-    """The job is malformed or can never run; the text says why."""
+    """The job is malformed or can never run; the message gives the reason."""
--- a/src/tideusher/embed/journal.py
+++ b/src/tideusher/embed/journal.py
@@ -1,11 +1,11 @@
-"""An append-only journal with snapshots: keys, values and one revision a record.
-
-A record is `length, its check, checksum, payload`; both checks are seeded with the record's revision, so
-that none can be lost, doubled or moved unseen, and a length that was changed is not taken for a record
-that breaks off. Recovery reads the newest snapshot and the records after it, up to the last whole one. A
-record that breaks off is the end of a write that was never acknowledged, and is cut off; one that is whole
-and wrong is damage, and is not passed over (`Damaged`). After any error of the system nothing more is
-written: what is on the disk then is for the next opening to find out.
+"""An append-only journal of key-value changes with snapshots; each record has its own revision.
+
+A record is `length, length checksum, payload checksum, payload`. Both checksums are seeded with the record's
+revision, so that lost, duplicated and moved records are detected, and a corrupted length is not mistaken for
+a truncated record. Recovery reads the newest snapshot and the records after it, up to the last complete one. A
+truncated record is the end of a write that was never acknowledged, and is cut off; a complete record with a
+wrong checksum is corruption, and is never skipped (`Damaged`). After any system error nothing more is written,
+because the contents of the disk are then unknown: the next opening reads them.
 """
 
 import fcntl
@@ -24,11 +24,11 @@
 
 MAGIC = b"TIDEJNL1"
 HEAD = struct.Struct("<8sQ")  # magic, revision before the first record
-RECORD = struct.Struct("<IIQ")  # length of the payload, the check of that, the payload's checksum
-MAX_RECORD = 1 << 28
+RECORD = struct.Struct("<IIQ")  # payload length, checksum of the length, checksum of the payload
+MAX_RECORD = 1 << 28  # bytes
 SNAPSHOT_MAGIC = b"TIDESNAP"
 SNAPSHOT_HEAD = struct.Struct("<8sHQQ")  # magic, format, revision, checksum of the rest
-#: Format 1 was not compressed.
+#: Current snapshot format. Format 1 is not compressed.
 FORMAT = 2
 
 Items = dict[str, tuple[Any, int]]
@@ -44,7 +44,7 @@
 
 
 class Lock:
-    """One opener of a directory at a time; it ends with the process, however that ends."""
+    """An exclusive lock on a directory; released when the process ends, however it ends."""
 
     def __init__(self, directory: str) -> None:
         path = os.path.join(directory, "lock")
@@ -54,31 +54,31 @@
         except OSError:
             holder = os.read(self._fd, 64).decode("ascii", "replace").strip()
             os.close(self._fd)
-            raise Locked(f"{directory}: process {holder or '?'} has it open") from None
+            raise Locked(f"{directory}: locked by process {holder or '?'}") from None
         os.ftruncate(self._fd, 0)
         os.pwrite(self._fd, str(os.getpid()).encode(), 0)
 
     def leave_to_parent(self) -> None:
-        """In a child: let go of the descriptor, not of the lock."""
+        """In a forked child: closes the descriptor without unlocking."""
         os.close(self._fd)
 
     def release(self) -> None:
-        """Let others open the directory."""
+        """Unlocks the directory."""
         fcntl.flock(self._fd, fcntl.LOCK_UN)
         os.close(self._fd)
 
 
 class Journal:
-    """Owns the files of one directory. Not safe for threads; its owner takes care of that."""
+    """Owns the files of one directory. Not thread-safe; the owner must serialize calls."""
 
     def __init__(self, directory: str, disk: Disk | None = None, repair: bool = False) -> None:
-        """Lock, and recover. `repair`: cut off what is damaged at the end instead of refusing it."""
+        """Locks and recovers the directory. `repair`: truncate the last journal file where it is damaged."""
         self._directory, self._disk = directory, disk or Disk()
         os.makedirs(directory, mode=0o700, exist_ok=True)
         self._lock = Lock(directory)
-        self._held = True
-        self._failed = ""
-        self._waiting: list[bytes] = []
+        self._is_open = True
+        self._closed_reason = ""
+        self._unsynced: list[bytes] = []
         self._fd = -1
         self.items: Items = {}
         self.revision = 0
@@ -92,34 +92,34 @@
     # ---------------------------------------------------------------- writing
 
     def append(self, changes: Iterable[Change]) -> int:
-        """Apply changes and queue their record; returns its revision. Nothing is kept before `sync`."""
-        self._check()
+        """Applies changes and queues their record; returns its revision. Durable only after `sync`."""
+        self._check_open()
         changes = list(changes)
         payload = _encode(changes)
         if len(payload) > MAX_RECORD:
-            raise StorageError(f"{self._directory}: a record of {len(payload)} bytes is too long")
+            raise StorageError(f"{self._directory}: a record of {len(payload)} bytes is too large")
         self.revision += 1
         self._apply(changes)
-        self._waiting.append(_head(payload, self.revision) + payload)
+        self._unsynced.append(_record_header(payload, self.revision) + payload)
         return self.revision
 
     def sync(self) -> None:
-        """All that was appended is on the disk when this returns; raises StorageError, and is closed then."""
-        self._check()
-        if not self._waiting:
+        """Writes all appended records to the disk; raises StorageError, after which the journal is closed."""
+        self._check_open()
+        if not self._unsynced:
             return
-        data = b"".join(self._waiting)
-        self._waiting.clear()
-        with self._guarded():
+        data = b"".join(self._unsynced)
+        self._unsynced.clear()
+        with self._storage_errors():
             self._disk.write(self._fd, data)
             self._disk.sync(self._fd)
         self.log_bytes += len(data)
 
     def snapshot(self) -> None:
-        """Write all items to a new snapshot, begin a new journal after it, and remove what they replace.
+        """Writes all items to a new snapshot, starts a new journal file after it, and removes the files they replace.
 
-        Each step leaves a directory that recovers to the same items: the snapshot counts once it is
-        renamed, and until the new journal is there the old one, which ends at the snapshot, goes on.
+        After each step the directory recovers to the same items: the snapshot is valid once it is renamed,
+        and until the new journal file exists the old one, which ends at the snapshot, is continued.
         """
         self.sync()
         body = zstandard.ZstdCompressor(level=3).compress(
@@ -128,42 +128,42 @@
         head = SNAPSHOT_HEAD.pack(
             SNAPSHOT_MAGIC, FORMAT, self.revision, xxhash.xxh3_64_intdigest(body, self.revision)
         )
-        with self._guarded():
+        with self._storage_errors():
             self._write_file("snapshot", head + body)
-            self._begin_log()
-            self._clear_up()
+            self._start_journal()
+            self._remove_obsolete()
         self.snapshot_bytes = len(body)
 
     def close(self) -> None:
-        """Let go of the files. What was appended and not synced is lost, as it was acknowledged to nobody."""
-        self._failed = self._failed or "it is closed"
-        if self._let_go():
+        """Closes the files. Records that were not synced are lost; none of them was acknowledged."""
+        self._closed_reason = self._closed_reason or "the journal is closed"
+        if self._close_files():
             self._lock.release()
 
     def leave_to_parent(self) -> None:
-        """In a child after a fork: forget the files without touching them."""
-        self._failed = "it is the parent's"
-        if self._let_go():
+        """In a forked child: closes the descriptors without changing the files or the lock."""
+        self._closed_reason = "the journal belongs to the parent process"
+        if self._close_files():
             self._lock.leave_to_parent()
 
-    def _let_go(self) -> bool:
-        """Close the journal's file; False if that was done before."""
-        held, self._held = self._held, False
+    def _close_files(self) -> bool:
+        """Closes the journal file; False if it was closed before."""
+        was_open, self._is_open = self._is_open, False
         if self._fd >= 0:
             os.close(self._fd)
             self._fd = -1
-        return held
+        return was_open
 
-    def _check(self) -> None:
-        if self._failed:
-            raise Closed(f"{self._directory}: {self._failed}")
+    def _check_open(self) -> None:
+        if self._closed_reason:
+            raise Closed(f"{self._directory}: {self._closed_reason}")
 
-    def _guarded(self) -> "_Guard":
+    def _storage_errors(self) -> "_Guard":
         return _Guard(self)
 
     def fail(self, error: OSError) -> StorageError:
-        """No later write may follow one of which we do not know what is on the disk."""
-        self._failed = f"a write failed before ({error.strerror or error}); open it again"
+        """Blocks all later writes, as the contents of the disk are unknown after a failed one."""
+        self._closed_reason = f"a write failed before ({error.strerror or error}); reopen the directory"
         return StorageError(f"{self._directory}: {error.strerror or error}")
 
     def _write_file(self, kind: str, data: bytes) -> None:
@@ -177,15 +177,15 @@
         self._disk.replace(path + ".new", path)
         self._disk.sync_directory(self._directory)
 
-    def _begin_log(self) -> None:
-        """A new journal that begins after the present revision."""
+    def _start_journal(self) -> None:
+        """Starts a new journal file after the current revision."""
         self._write_file("journal", HEAD.pack(MAGIC, self.revision))
         fd = os.open(_path(self._directory, "journal", self.revision), os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
         old, self._fd, self.log_bytes = self._fd, fd, HEAD.size
         if old >= 0:
             os.close(old)
 
-    def _clear_up(self) -> None:
+    def _remove_obsolete(self) -> None:
         for _, revision, path in self._files():
             if revision < self.revision or path.endswith(".new"):
                 self._disk.remove(path)
@@ -201,20 +201,20 @@
         return found
 
     def _recover(self, repair: bool) -> None:
-        files = [one for one in self._files() if not one[2].endswith(".new")]
-        snapshots = [one for one in files if one[0] == "snapshot"]
-        logs = [one for one in files if one[0] == "journal"]
+        files = [file for file in self._files() if not file[2].endswith(".new")]
+        snapshots = [file for file in files if file[0] == "snapshot"]
+        logs = [file for file in files if file[0] == "journal"]
         if snapshots:
             self.revision = snapshots[-1][1]
             self._read_snapshot(snapshots[-1][2])
         elif logs and logs[0][1]:
-            raise Damaged(f"{self._directory}: there is no snapshot before revision {logs[0][1]}")
-        for _, first, path in logs:
-            if first >= self.revision or path == logs[-1][2]:
-                self._replay(path, first, repair, last=path == logs[-1][2])
-        with self._guarded():
+            raise Damaged(f"{self._directory}: the snapshot before revision {logs[0][1]} is missing")
+        for _, base_revision, path in logs:
+            if base_revision >= self.revision or path == logs[-1][2]:
+                self._replay(path, base_revision, repair, last=path == logs[-1][2])
+        with self._storage_errors():
             if not logs or logs[-1][1] < (snapshots[-1][1] if snapshots else 0):
-                self._begin_log()  # it ended between the snapshot and its journal
+                self._start_journal()  # the process ended between writing the snapshot and its journal file
             else:
                 self._fd = os.open(logs[-1][2], os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
                 self.log_bytes = os.fstat(self._fd).st_size
@@ -222,34 +222,36 @@
     def _read_snapshot(self, path: str) -> None:
         data = _read(path)
         if len(data) < SNAPSHOT_HEAD.size:
-            raise Damaged(f"{path}: it is too short for a snapshot")
+            raise Damaged(f"{path}: too short for a snapshot")
         magic, version, revision, checksum = SNAPSHOT_HEAD.unpack_from(data)
         body = data[SNAPSHOT_HEAD.size :]
         if magic != SNAPSHOT_MAGIC or revision != self.revision:
-            raise Damaged(f"{path}: it is no snapshot of revision {self.revision}")
+            raise Damaged(f"{path}: not a snapshot of revision {self.revision}")
         if not 1 <= version <= FORMAT:
             raise Damaged(f"{path}: format {version} is unknown; this version reads formats up to {FORMAT}")
         if xxhash.xxh3_64_intdigest(body, revision) != checksum:
-            raise Damaged(f"{path}: its checksum is wrong")
+            raise Damaged(f"{path}: the checksum is wrong")
         rows = _decode(zstandard.ZstdDecompressor().decompress(body) if version >= 2 else body)
         self.items = {key: (value, stamp) for key, value, stamp in rows}
         self.snapshot_bytes = len(body)
 
-    def _replay(self, path: str, first: int, repair: bool, last: bool) -> None:
+    def _replay(self, path: str, base_revision: int, repair: bool, last: bool) -> None:
         data = _read(path)
-        if len(data) < HEAD.size or HEAD.unpack_from(data) != (MAGIC, first):
-            raise Damaged(f"{path}: it is no journal after revision {first}")
-        at, revision = HEAD.size, first
-        while at < len(data):
-            payload, reason = _record_at(data, at, revision + 1)
+        if len(data) < HEAD.size or HEAD.unpack_from(data) != (MAGIC, base_revision):
+            raise Damaged(f"{path}: not a journal after revision {base_revision}")
+        offset, revision = HEAD.size, base_revision
+        while offset < len(data):
+            payload, reason = _record_at(data, offset, revision + 1)
             if payload is None:
                 if not (last and (repair or not reason)):
-                    raise Damaged(f"{path}: {reason or 'it breaks off'} at byte {at}, after revision {revision}")
-                with self._guarded():
-                    os.truncate(path, at)
+                    raise Damaged(
+                        f"{path}: {reason or 'truncated record'} at byte {offset}, after revision {revision}"
+                    )
+                with self._storage_errors():
+                    os.truncate(path, offset)
                     self._disk.sync_directory(self._directory)
                 return
-            at += RECORD.size + len(payload)
+            offset += RECORD.size + len(payload)
             revision += 1
             if revision > self.revision:
                 self.revision = revision
@@ -264,7 +266,7 @@
 
 
 class _Guard:
-    """Turns an error of the system into StorageError, and bars the journal."""
+    """Context manager that turns OSError into StorageError and blocks further writes to the journal."""
 
     def __init__(self, journal: Journal) -> None:
         self._journal = journal
@@ -282,25 +284,25 @@
         return file.read()
 
 
-def _length_check(length: int, revision: int) -> int:
+def _length_checksum(length: int, revision: int) -> int:
     return xxhash.xxh32_intdigest(length.to_bytes(4, "little"), revision & 0xFFFFFFFF)
 
 
-def _head(payload: bytes, revision: int) -> bytes:
+def _record_header(payload: bytes, revision: int) -> bytes:
     checksum = xxhash.xxh3_64_intdigest(payload, revision)
-    return RECORD.pack(len(payload), _length_check(len(payload), revision), checksum)
-
-
-def _record_at(data: bytes, at: int, revision: int) -> tuple[bytes | None, str]:
-    """The payload of the record at `at`; else None and why it is wrong (empty: it only breaks off there)."""
-    rest = len(data) - at
-    if rest < RECORD.size or not any(data[at : at + RECORD.size + 1]):
-        # Too short, or zeros: a file that was made longer before its data came.
-        return None, "" if not any(data[at:]) or rest < RECORD.size else "zeros with data behind them"
-    length, check, checksum = RECORD.unpack_from(data, at)
-    if check != _length_check(length, revision):
-        return None, "a record whose length was changed"
-    payload = data[at + RECORD.size : at + RECORD.size + length]
+    return RECORD.pack(len(payload), _length_checksum(len(payload), revision), checksum)
+
+
+def _record_at(data: bytes, offset: int, revision: int) -> tuple[bytes | None, str]:
+    """Returns the payload of the record at `offset`, or None and the error (empty: the record is only truncated)."""
+    remaining = len(data) - offset
+    if remaining < RECORD.size or not any(data[offset : offset + RECORD.size + 1]):
+        # Too short, or zeros: the file was extended before its data was written.
+        return None, "" if not any(data[offset:]) or remaining < RECORD.size else "zeros followed by data"
+    length, length_checksum, checksum = RECORD.unpack_from(data, offset)
+    if length_checksum != _length_checksum(length, revision):
+        return None, "a record with a corrupted length"
+    payload = data[offset + RECORD.size : offset + RECORD.size + length]
     if len(payload) < length:
         return None, ""
     if xxhash.xxh3_64_intdigest(payload, revision) != checksum:
--- a/src/tideusher/embed/machines.py
+++ b/src/tideusher/embed/machines.py
@@ -1,7 +1,7 @@
-"""The machines of an embedded instance: parts of its own program, which speak to the engine as workers do.
+"""The machines of an embedded instance: in-process counterparts of workers, which report to the engine as those do.
 
-What runs on one is known here and nowhere else, so a report is the truth of its moment. A machine's
-session is the instance's: what ran in an earlier life of the program ended with it.
+Which tasks run is known only here, so a report is exact at the time it is made. A machine's session is that of
+its instance: tasks of an earlier run of the program ended with it.
 """
 
 from collections.abc import Callable
@@ -15,11 +15,11 @@
 
 @dataclass(slots=True, eq=False)
 class Started:
-    """One attempt of a task that the program runs. Its methods may be called from any thread.
+    """An attempt of a task that the program runs. Its methods may be called from any thread.
 
-    `cards` are the numbers of the machine's cards that this attempt has to itself (as many as the job's
-    `gpus`, rounded up to whole ones; none if it asks for none). Call one of `done`, `failed` and `stopped`
-    once nothing of it runs any more: until then its place, its cards and its quota are held.
+    `cards` are the indices of the machine's GPUs reserved for this attempt (the job's `gpus`, rounded up to an
+    integer; empty if it needs none). Call one of `done`, `failed` and `stopped` once nothing of the attempt
+    runs any more: until then its capacity, its GPUs and its quota stay allocated.
     """
 
     job: JobSpec
@@ -28,7 +28,7 @@
     machine: str
     cards: tuple[int, ...]
     _exit: Callable[["Started", str, bool], None]
-    #: Set when the instance wants it stopped; `grace_s` is how long it may take to save.
+    #: True once the instance has requested the task to stop; `grace_s` is the time it has to save, in seconds.
     stopping: bool = False
     grace_s: float = 0.0
     state: str = workers.ACTIVE
@@ -37,24 +37,24 @@
 
     @property
     def name(self) -> str:
-        """Such as `req-000412/3`."""
+        """The task's name, such as `req-000412/3`."""
         return workers.task_name(self.job.id, self.index)
 
     def done(self) -> None:
-        """It completed."""
+        """Reports that the task completed."""
         self._exit(self, workers.CAUSE_DONE, False)
 
     def failed(self) -> None:
-        """It failed; it will be tried again, elsewhere first."""
+        """Reports that the task failed; it will be retried, preferably on another machine."""
         self._exit(self, workers.CAUSE_ERROR, False)
 
     def stopped(self, kept: bool = False) -> None:
-        """It ended because it was told to; `kept`: its progress is saved."""
+        """Reports that the task stopped on request; `kept`: its progress is saved."""
         self._exit(self, workers.CAUSE_STOPPED, kept)
 
 
 class LocalMachine:
-    """One machine: takes commands, hands out cards, reports."""
+    """A machine: executes commands, allocates GPUs and reports its tasks."""
 
     def __init__(self, card: Card, kind: MachineKind, spec_of: Callable[[str], JobSpec | None]) -> None:
         self.name, self.zone, self.kind = card.machine, card.zone, kind
@@ -66,11 +66,11 @@
 
     @property
     def has_exited(self) -> bool:
-        """Is there an attempt that has ended and is not forgotten?"""
+        """True if an attempt has exited and is not forgotten yet."""
         return any(task.state == workers.EXITED for task in self._tasks.values())
 
     def report(self, token: int) -> Report:
-        """What runs here now."""
+        """Returns a report of all tasks on this machine."""
         self._serial += 1
         self.changed = False
         tasks = [TaskReport(t.name, t.attempt, t.state, t.cause, t.kept or None) for t in self._tasks.values()]
@@ -79,7 +79,7 @@
     def execute(
         self, commands: list[Command], exit: Callable[[Started, str, bool], None]
     ) -> tuple[list[Started], list[Started]]:
-        """Take commands; returns what is to be started and what is to be stopped by the program."""
+        """Executes commands; returns the tasks that the program has to start and to stop."""
         started, stopped = [], []
         for command in commands:
             job, index = workers.parse_task_name(command.task)
@@ -108,7 +108,7 @@
         return task
 
     def exited(self, task: Started, cause: str, kept: bool) -> None:
-        """The program says that nothing of the task runs any more; said twice it counts once."""
+        """Records that nothing of a task runs any more; a repeated call has no effect."""
         if self._tasks.get((task.job.id, task.index)) is task and task.state != workers.EXITED:
             task.state, task.cause, task.kept = workers.EXITED, cause, kept
             self._free_cards = sorted([*self._free_cards, *task.cards])
--- a/src/tideusher/embed/settings.py
+++ b/src/tideusher/embed/settings.py
@@ -1,4 +1,4 @@
-"""What an embedded instance owns and for whom: machines and teams, declared by the program or in TOML."""
+"""Settings of an embedded instance: its machines and teams, declared by the program or in a TOML file."""
 
 import tomllib
 
@@ -16,12 +16,12 @@
 )
 from tideusher.wire.cloud import MachineType
 
-#: Machines of the program report when something changes, and at least this often.
+#: Longest time between two reports of a machine, in seconds; it also reports on each change.
 REPORT_S = 1.0
 
 
 class MachineKind(msgspec.Struct, frozen=True):
-    """A kind of machine. `cpus` and `gpus` are counts, `ram_gb` GB."""
+    """A kind of machine. `cpus` and `gpus` are counts; `ram_gb` is in GB."""
 
     name: str
     cpus: float
@@ -30,7 +30,7 @@
 
 
 class Card(msgspec.Struct, frozen=True):
-    """One machine that the program owns: its name, kind and zone."""
+    """A machine that the program owns: its name, kind and zone."""
 
     machine: str
     kind: str
@@ -38,36 +38,36 @@
 
 
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All that is declared. A team's `gpus` and `cpus` are its guarantee, `*_max` its limit; 0 means none."""
+    """All settings. A team's `gpus` and `cpus` are its guarantee, `*_max` its limit; 0 means none."""
 
     kinds: list[MachineKind]
     machines: list[Card]
     teams: list[Team]
 
     def check(self) -> "Settings":
-        """Itself; raises ConfigError naming what does not fit together."""
+        """Returns itself; raises ConfigError that names the invalid or inconsistent setting."""
         kinds = {kind.name for kind in self.kinds}
-        seen: set[str] = set()
-        for one in self.machines:
-            if one.kind not in kinds:
-                raise ConfigError(f"machine {one.machine}: there is no kind {one.kind!r}")
-            if one.machine in seen:
-                raise ConfigError(f"machine {one.machine} is declared twice")
-            seen.add(one.machine)
+        names: set[str] = set()
+        for card in self.machines:
+            if card.kind not in kinds:
+                raise ConfigError(f"machine {card.machine}: unknown machine kind {card.kind!r}")
+            if card.machine in names:
+                raise ConfigError(f"machine {card.machine} is declared twice")
+            names.add(card.machine)
         for kind in self.kinds:
             if min(kind.cpus, kind.gpus, kind.ram_gb) < 0:
-                raise ConfigError(f"kind {kind.name}: an amount is below 0")
+                raise ConfigError(f"kind {kind.name}: negative amount")
         return self
 
     def types(self) -> list[MachineType]:
-        """The kinds as the engine knows them; none can be rented anywhere."""
+        """Returns the machine kinds as the engine's machine types; none can be rented in any zone."""
         return [MachineType(kind.name, kind.cpus, kind.gpus, kind.ram_gb) for kind in self.kinds]
 
     def config(self) -> Config:
-        """The engine's settings: no outside service, no limit of writes but the size of a transaction."""
+        """Returns the engine's configuration: no external services; only the transaction size limits writes."""
         site = DeploymentSettings(
             size=1,
-            zones=sorted({one.zone for one in self.machines}),
+            zones=sorted({card.zone for card in self.machines}),
             workers=WorkerSettings(REPORT_S, 10.0, 30.0, 5.0, 30.0),
             state=StateSettings(1e9, 1e9, 1 << 20, 1 << 20),
             cloud=CloudSettings(1e9, 1.0),
@@ -77,7 +77,7 @@
 
 
 def load_settings(path: str) -> Settings:
-    """Read settings from TOML; raises ConfigError with file and field."""
+    """Reads settings from a TOML file; raises ConfigError with file and field."""
     try:
         with open(path, "rb") as file:
             return msgspec.convert(tomllib.load(file), Settings).check()
--- a/tests/test_embed.py
+++ b/tests/test_embed.py
@@ -300,10 +300,10 @@
     path.write_text(good)
     assert load_settings(str(path)).machines[0].zone == "here"
     for old, new, words in (
-        ('kind = "k"', 'kind = "x"', "machine m: there is no kind 'x'"),
+        ('kind = "k"', 'kind = "x"', "machine m: unknown machine kind 'x'"),
         ("cpus = 4.0", 'cpus = "many"', r"kinds\[0\].cpus"),
         ("teams", "temas", "temas"),
-        ("4.0", "-1.0", "kind k: an amount is below 0"),
+        ("4.0", "-1.0", "kind k: negative amount"),
         ("kinds =", "kinds", "own.toml: "),
     ):
         path.write_text(good.replace(old, new))
