--- a/src/tideusher/embed/instance.py
+++ b/src/tideusher/embed/instance.py
@@ -224,9 +224,7 @@
         with self._lock:
             self._check_usable()
             status, revision = self._status(job), self._awaited_revision
-        if (
-            self._synced_revision < revision
-        ):  # another thread's change may only be queued: persist it before it is visible
+        if self._synced_revision < revision:  # another thread's change may only be queued: persist it first
             self._wait_durable(revision)
         return status
 
@@ -538,9 +536,8 @@
         if now_us - self._last_report_us >= to_us(REPORT_S) // 2:
             self._last_report_us = now_us
             cluster.pending_machines.update(cluster.machines)
-        pending_machines = [
-            self._machines[name] for name in sorted(cluster.pending_machines)
-        ]  # sorted: the order of the program's changes must not matter
+        # Sorted: the order of the program's changes must not matter.
+        pending_machines = [self._machines[name] for name in sorted(cluster.pending_machines)]
         cluster.pending_machines.clear()
         answer, token = self._engine.reports.answer, self._engine.token
         return [(machine, answer(machine.report(token), now_us)) for machine in pending_machines]
--- a/tests/test_claim.py
+++ b/tests/test_claim.py
@@ -1,4 +1,4 @@
-"""Claims: leases by the program's own clock, fences, notices, lost keepers, and a program that stood still."""
+"""Claims: leases on the program's own clock, fences, notices, lost keepers, and a paused program."""
 
 import socket
 
@@ -16,33 +16,33 @@
 
 
 class Keeper:
-    """The other end: scripted, and strict about versions."""
+    """A scripted keeper, which checks the protocol version."""
 
     def __init__(self, clock):
         self.clock = clock
-        self.sock, self.other = socket.socketpair()
+        self.sock, self.program_sock = socket.socketpair()
         self.sock.setblocking(False)
-        self.frames, self.gone, self.greeted = wire.frames(), [], False
+        self.frames, self.gone, self.hello_received = wire.frames(), [], False
 
-    def say(self, *messages):
+    def send(self, *messages):
         for message in messages:
             self.sock.sendall(wire.frame(message))
 
     def grant(self, fence, lease_s=10.0, machine="host-1"):
         until_us = self.clock.us + round(lease_s * SECOND_US)
-        self.say(wire.Granted("req-9", 0, fence, machine, KIND.name, "a", until_us, [0, 1, 2, 3]))
+        self.send(wire.Granted("req-9", 0, fence, machine, KIND.name, "a", until_us, [0, 1, 2, 3]))
 
     def alive(self, fence, lease_s=10.0):
-        self.say(wire.Alive(fence, self.clock.us + round(lease_s * SECOND_US)))
+        self.send(wire.Alive(fence, self.clock.us + round(lease_s * SECOND_US)))
 
-    def hear(self):
+    def receive(self):
         try:
             for message in self.frames.feed(self.sock.recv(65536)):
-                if not self.greeted:
-                    self.greeted = True
+                if not self.hello_received:
+                    self.hello_received = True
                     reason = wire.refusal_of(message)
                     if reason:
-                        self.say(wire.Refused(reason))
+                        self.send(wire.Refused(reason))
                 elif isinstance(message, wire.Gone):
                     self.gone.append(message.fence)
         except BlockingIOError:
@@ -57,7 +57,7 @@
     keeper = Keeper(clock)
     program = Program(tmp_path, SETTINGS, clock=clock, guard=claims.usable)
     program.keeper, program.claims = keeper, claims
-    program.link = ClaimLink(keeper.other, claims, "a test")
+    program.link = ClaimLink(keeper.program_sock, claims, "a test")
     program.link.serve(program.instance)
     yield program
     program.instance.close()
@@ -65,7 +65,7 @@
 
 def test_small_jobs_run_inside_a_claim_while_it_is_renewed(claimed):
     claimed.instance.submit_many([small_job(f"req-{n}", "red", gpus=1.0) for n in range(1, 7)])
-    assert not claimed.running  # nothing is granted
+    assert not claimed.running  # no machine is granted yet
     claimed.keeper.grant(1)
     claimed.link.step()
     assert len(claimed.running) == 4 and {task.machine for task in claimed.running.values()} == {"host-1#1"}
@@ -76,33 +76,33 @@
     assert not claimed.ending and claimed.claims.usable("host-1#1")
     for name in sorted(claimed.running):
         claimed.end(name)
-    assert len(claimed.running) == 2 and claimed.keeper.hear() == []
+    assert len(claimed.running) == 2 and claimed.keeper.receive() == []
 
 
-def test_at_the_end_of_a_lease_it_stops_in_time_and_gives_back_by_its_word(claimed):
+def test_tasks_stop_before_the_lease_ends_and_gone_is_sent_once_they_have(claimed):
     claimed.keeper.grant(1)
     claimed.instance.submit_many([small_job(f"req-{n}", "red", gpus=1.0) for n in range(1, 7)])
     claimed.link.step()
     claimed.clock.pass_s(8.9)
     claimed.link.step()
     assert not claimed.ending
-    claimed.clock.pass_s(0.1)  # a second before the cluster may give it away
+    claimed.clock.pass_s(0.1)  # one second before the cluster may reassign the machine
     claimed.link.step()
-    assert len(claimed.ending) == 4 and claimed.keeper.hear() == []
-    claimed.keeper.alive(1, 60)  # too late: what was lost once is lost
+    assert len(claimed.ending) == 4 and claimed.keeper.receive() == []
+    claimed.keeper.alive(1, 60)  # too late: a lost grant stays lost
     claimed.link.step()
     for name in sorted(claimed.running):
         claimed.running.pop(name).stopped()
-        assert claimed.keeper.hear() == []
+        assert claimed.keeper.receive() == []
     claimed.link.step()
-    assert claimed.keeper.hear() == [1] and claimed.instance.machines() == [] and not claimed.running
+    assert claimed.keeper.receive() == [1] and claimed.instance.machines() == [] and not claimed.running
     claimed.keeper.grant(2)
     claimed.link.step()
     assert {(task.machine, task.attempt) for task in claimed.running.values()} == {("host-1#2", 2)}
 
 
-def test_a_program_that_stood_still_beyond_its_lease_starts_nothing(claimed):
-    """Stopped between the decision and the start: the clock has gone on when it resumes."""
+def test_a_program_that_was_paused_beyond_its_lease_starts_no_task(claimed):
+    """The process is paused between a placement and its start, and the clock has advanced when it resumes."""
     started = []
 
     def on_start(task):
@@ -113,18 +113,18 @@
     claimed.keeper.grant(1)
     claimed.instance.submit_many([small_job(f"req-{n}", "red", gpus=1.0) for n in range(1, 4)])
     claimed.link.step()
-    assert started == ["req-1/0"]  # the one during which it stood still
+    assert started == ["req-1/0"]  # the start during which it was paused
     claimed.keeper.grant(2)
-    claimed.clock.pass_s(60)  # and it was told while it stood still again
+    claimed.clock.pass_s(60)  # the grant arrived during another pause
     claimed.link.step()
     assert started == ["req-1/0"]
 
 
-def test_a_claim_that_is_preempted_while_its_jobs_run_is_left_with_notice(claimed):
+def test_a_preempted_claim_is_released_within_its_notice(claimed):
     claimed.keeper.grant(1)
     claimed.instance.submit(small_job("req-1", "red", tasks=3, gpus=1.0))
     claimed.link.step()
-    claimed.keeper.say(wire.Notice(1, 4.0, "it is past its protected time"))
+    claimed.keeper.send(wire.Notice(1, 4.0, "it is past its protected time"))
     claimed.link.step()
     assert [task.grace_s for task in claimed.ending] == [4.0] * 3
     assert "past its protected time" in claimed.instance.explain("req-1")["stops"][0]["reason"]
@@ -134,28 +134,28 @@
     for name in sorted(claimed.running):
         claimed.end(name, "stopped", kept=True)
     claimed.link.step()
-    assert claimed.keeper.hear() == [1]
+    assert claimed.keeper.receive() == [1]
 
 
-def test_late_and_repeated_messages_of_an_older_fence_change_nothing(claimed):
+def test_late_and_repeated_messages_of_an_older_fence_are_ignored(claimed):
     claimed.keeper.grant(2)
     claimed.keeper.grant(2)
     claimed.keeper.grant(1, 1000)
     claimed.keeper.alive(1, 1000)
-    claimed.keeper.say(wire.Notice(1, 0.0, "late"))
+    claimed.keeper.send(wire.Notice(1, 0.0, "late"))
     claimed.link.step()
     assert claimed.instance.machines() == ["host-1#2"] and not claimed.claims.lost()
-    claimed.keeper.alive(2, -5)  # a lease does not become shorter
+    claimed.keeper.alive(2, -5)  # a lease is never shortened
     claimed.link.step()
     assert claimed.claims.usable("host-1#2")
-    claimed.keeper.grant(3, machine="host-2")  # the task was started anew elsewhere: all before is over
+    claimed.keeper.grant(3, machine="host-2")  # the task was restarted elsewhere: older grants are void
     claimed.link.step()
     claimed.link.step()
-    assert claimed.instance.machines() == ["host-2#3"] and claimed.keeper.hear() == [2]
+    assert claimed.instance.machines() == ["host-2#3"] and claimed.keeper.receive() == [2]
 
 
 @pytest.mark.parametrize("how", ["closed", "broken"])
-def test_without_its_keeper_a_claim_goes_on_to_its_leases_end_and_no_further(claimed, how):
+def test_without_its_keeper_a_claim_is_used_until_its_lease_ends(claimed, how):
     claimed.keeper.grant(1)
     claimed.instance.submit(small_job("req-1", "red", tasks=2, gpus=1.0))
     claimed.link.step()
@@ -170,19 +170,19 @@
     assert len(claimed.ending) == 2
 
 
-def test_another_version_is_refused_in_plain_words(claimed, monkeypatch):
+def test_an_unknown_protocol_version_is_refused_with_both_versions_named(claimed, monkeypatch):
     keeper = Keeper(claimed.clock)
     monkeypatch.setattr(wire, "VERSION", 7)
-    link = ClaimLink(keeper.other, Claims(claimed.clock))
+    link = ClaimLink(keeper.program_sock, Claims(claimed.clock))
     monkeypatch.setattr(wire, "VERSION", 1)
     link.serve(claimed.instance)
-    keeper.hear()
+    keeper.receive()
     with pytest.raises(ClaimRefused, match="version 7 of the claim protocol is unknown here; known is 1"):
         link.step()
 
 
-def test_two_claims_of_the_last_card_are_two_services_of_their_teams():
-    """The cluster's side is that of any service: limit, rank, proof."""
+def test_two_claims_compete_as_services_of_their_teams():
+    """The cluster treats a claim as any service: team limit, rank, and release on proof of exit."""
     harness = LeaderHarness()
     first = harness.place(job("service", 1, gpus=4.0, priority="standard"))
     second = harness.submit(job("service", 1, gpus=4.0, team="blue", priority="standard"))
@@ -191,7 +191,7 @@
     harness.scheduler.schedule(harness.clock.now_us())
     harness.commit()
     assert first.live and not second.live
-    harness.state.cancel(first.spec.id)  # released: the other has it only when the first is proven gone
+    harness.state.cancel(first.spec.id)  # the second one gets the GPUs only once the first has provably exited
     harness.see_jobs()
     harness.scheduler.schedule(harness.clock.now_us())
     assert not second.live
--- a/tests/test_embed.py
+++ b/tests/test_embed.py
@@ -1,4 +1,4 @@
-"""Embedded instances: one life, many lives, threads and forks, and the same decisions as the daemon."""
+"""Embedded instances: single runs, restarts, threads, forks, and the same placements as the daemon."""
 
 import os
 import random
@@ -34,7 +34,7 @@
 
 
 class Program:
-    """A host program: keeps what was started, ends it when the test says so."""
+    """A host program that tracks started tasks and ends them as the test requires."""
 
     def __init__(self, directory, settings=SETTINGS, **more):
         self.running, self.ending = {}, []
@@ -46,7 +46,7 @@
         self.running[task.name] = task
 
     def round(self, specs, ended, cancelled):
-        """Ends, then cancellations one by one, then submissions; after each, whatever follows."""
+        """Ends tasks, cancels jobs one by one, then submits jobs; settles after each of these."""
         for name in sorted(ended):
             self.running.pop(name).done()
         self.settle()
@@ -75,12 +75,12 @@
 
 @pytest.fixture
 def program(tmp_path):
-    one = Program(tmp_path / "state")
-    yield one
-    one.instance.close()
+    host_program = Program(tmp_path / "state")
+    yield host_program
+    host_program.instance.close()
 
 
-def test_a_job_is_placed_run_and_done_and_can_be_explained(program):
+def test_a_job_is_placed_run_completed_and_explained(program):
     instance = program.instance
     spec = small_job("req-1", "red", tasks=2, gpus=1.0)
     assert instance.submit(spec).status == "pending"
@@ -105,7 +105,7 @@
         ({"after": [After("afterok", "req-9")]}, "after: there is no job req-9"),
     ],
 )
-def test_what_can_never_run_is_refused_and_nothing_of_it_is_kept(program, fields, words):
+def test_a_job_that_can_never_run_is_refused_with_all_jobs_of_its_submission(program, fields, words):
     bad = small_job("req-1", **{"team": "red", **fields})
     with pytest.raises(Refused, match=words):
         program.instance.submit_many([small_job("req-2", "red"), bad])
@@ -114,7 +114,7 @@
             program.instance.status(ref)
 
 
-def test_cancel_stops_through_the_program_and_frees_only_when_it_says_so(program):
+def test_cancel_frees_capacity_only_when_the_program_reports_the_stop(program):
     instance = program.instance
     instance.submit(small_job("req-1", "red", gpus=4.0, shape="service"))
     instance.submit_many([small_job(f"req-{n}", "red", gpus=4.0) for n in (2, 3, 4)])
@@ -130,8 +130,8 @@
     assert program.running["req-2/0"].attempt == 2
 
 
-def test_what_failed_on_every_machine_is_tried_again_and_no_own_machine_is_given_up(tmp_path):
-    """A job that had failed once on each of two machines was never placed again, and a faulty one was drained."""
+def test_a_job_that_failed_on_every_machine_is_retried_and_no_own_machine_is_drained(tmp_path):
+    """Regression: a job that had failed on each of two machines was never placed again; a faulty one was drained."""
     settings = Settings([KIND], [Card(f"host-{n}", KIND.name) for n in range(2)], TEAMS)
     program = Program(tmp_path, settings)
     program.instance.submit_many([small_job(f"req-{n}", "red", gpus=4.0, shape="service") for n in (1, 2)])
@@ -161,7 +161,7 @@
     assert words in subprocess.run(command, env=env, check=True, capture_output=True, text=True, timeout=60).stdout
 
 
-def test_a_call_back_that_raises_is_a_failure_of_its_task(tmp_path, caplog):
+def test_an_exception_in_on_start_is_a_failure_of_its_task(tmp_path, caplog):
     calls = []
 
     def on_start(task):
@@ -175,7 +175,7 @@
     assert "a bug of the program" in caplog.text
 
 
-def test_what_ran_when_the_program_ended_is_open_again_under_a_new_attempt(tmp_path):
+def test_tasks_that_ran_when_the_program_ended_restart_as_new_attempts(tmp_path):
     first = Program(tmp_path)
     first.instance.submit_many([small_job(f"req-{n}", "red", gpus=2.0) for n in range(8)])
     assert len(first.running) == 6
@@ -194,7 +194,7 @@
     second.instance.close()
 
 
-def test_threads_share_writes_and_each_gets_its_answer(tmp_path):
+def test_jobs_submitted_by_several_threads_all_complete_once(tmp_path):
     done, lock = [], threading.Lock()
 
     def on_start(task):
@@ -218,8 +218,8 @@
         assert len(done) == len(set(done)) == 80
 
 
-def test_a_repeat_does_not_wait_for_records_that_nobody_waits_for(tmp_path):
-    """What is queued without an effect goes with the next write; a repeat once waited for it for ever."""
+def test_a_repeated_submission_does_not_wait_for_unrelated_queued_records(tmp_path):
+    """Regression: records without effects wait for the next write; a repeated submission waited for them forever."""
     with Instance(str(tmp_path), SETTINGS, lambda task: None) as instance:
         spec = small_job("req-1", "red")
         instance.submit(spec)
@@ -231,8 +231,8 @@
         assert not repeat.is_alive()
 
 
-def test_a_change_that_is_only_queued_is_told_to_nobody(program):
-    """Another thread's cancellation was told by `status` before it was on the disk."""
+def test_status_persists_a_queued_change_before_returning_it(program):
+    """Regression: `status` returned another thread's cancellation before it was on the disk."""
     instance = program.instance
     instance.submit(small_job("req-1", "red"))
     with instance._lock:
@@ -242,7 +242,7 @@
     assert instance.status("req-1").status == "withdrawn" and instance._synced_revision >= instance._awaited_revision
 
 
-def test_instances_do_not_share_a_directory_but_a_process(tmp_path):
+def test_instances_may_share_a_process_but_not_a_directory(tmp_path):
     one, two = Program(tmp_path / "one"), Program(tmp_path / "two")
     with pytest.raises(Locked):
         Program(tmp_path / "one")
@@ -252,27 +252,27 @@
         each.instance.close()
 
 
-def test_a_child_must_not_use_its_parents_instance_and_does_not_keep_its_directory(tmp_path):
+def test_a_forked_child_cannot_use_its_parents_instance_and_does_not_hold_the_lock(tmp_path):
     program = Program(tmp_path)
     program.instance.submit(small_job("req-1", "red"))
     read, write = os.pipe()
     child = os.fork()
     if not child:
-        told = []
+        outcomes = []
         for call in (lambda: program.instance.submit(small_job("req-2", "red")), program.running["req-1/0"].done):
             try:
                 call()
-                told.append("done")
+                outcomes.append("done")
             except Forked:
-                told.append("forked")
+                outcomes.append("forked")
         program.instance.close()
-        os.write(write, " ".join(told).encode())
+        os.write(write, " ".join(outcomes).encode())
         os._exit(0)
     assert os.read(read, 100) == b"forked forked"
     os.waitpid(child, 0)
     program.end("req-1/0")
     assert program.instance.status("req-1").status == "done"
-    holder = os.fork()  # lives on after the parent let go
+    holder = os.fork()  # outlives the parent's instance
     if not holder:
         os.read(read, 1)
         os._exit(0)
@@ -282,7 +282,7 @@
     os.waitpid(holder, 0)
 
 
-def test_importing_it_starts_nothing_and_loads_no_server():
+def test_importing_starts_no_thread_and_loads_no_server():
     probe = "import sys, threading, tideusher.embed as e; print(threading.active_count(), *sorted(sys.modules))"
     path = os.path.join(os.path.dirname(__file__), "..", "src")
     env = {**os.environ, "PYTHONPATH": path}
@@ -293,7 +293,7 @@
         assert name not in modules, name
 
 
-def test_broken_settings_name_what_is_wrong(tmp_path):
+def test_errors_of_invalid_settings_name_the_setting(tmp_path):
     path = tmp_path / "own.toml"
     good = 'kinds = [{ name = "k", cpus = 4.0 }]\nmachines = [{ machine = "m", kind = "k" }]\n'
     good += 'teams = [{ name = "red" }]\n'
@@ -313,11 +313,11 @@
         Settings([KIND], [Card("m", KIND.name)] * 2, TEAMS).check()
 
 
-# Many lives
+# Restarts
 
 
-def live(directory, rng, history, disk, names):
-    """One life of a host program that ends at the disk's next fault; raises Crash or StorageError."""
+def run_until_fault(directory, rng, history, disk, names):
+    """Runs a host program until the disk's next fault; raises Crash or StorageError."""
     tasks = {}
 
     def on_start(task):
@@ -364,48 +364,48 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_through_many_lives_nothing_is_lost_or_used_twice(tmp_path, seed):
-    """The program ends, or its disk fails, at seeded calls: in writes, in snapshots, between the two."""
+def test_through_many_restarts_no_job_is_lost_and_no_gpu_is_used_twice(tmp_path, seed):
+    """The program crashes, or its disk fails, at seeded calls: during and between writes and snapshots."""
     rng, history, names = random.Random(seed), History({f"host-{n}": 4 for n in range(4)}), iter(range(1, 10**9))
     for _ in range(25):
         error = rng.choice([None, None, 28, 5])
         disk = FaultyDisk(rng.randrange(1, 120), error, rng.random())
         try:
-            live(tmp_path, rng, history, disk, names)
+            run_until_fault(tmp_path, rng, history, disk, names)
         except (Crash, StorageError):
             history.crash()
     assert history.starts > 100 and history.crashes >= 25 and len(history.final) > 30
 
 
-def test_the_checker_of_histories_finds_each_planted_fault():
-    def told(*events):
+def test_the_history_checker_detects_each_injected_violation():
+    def check(*events):
         history = History({"m": 4})
         history.accept("req-1")
         for name, *args in events:
             getattr(history, name)(*args)
 
     start = ("start", "req-1", 0, 1, "m", (0,), 1)
-    told(start, ("stop", "req-1", 0), ("start", "req-1", 0, 2, "m", (0,), 1), ("end", "req-1", "done"))
+    check(start, ("stop", "req-1", 0), ("start", "req-1", 0, 2, "m", (0,), 1), ("end", "req-1", "done"))
     for words, events in (
         ("runs twice", [start, ("start", "req-1", 0, 2, "m", (1,), 1)]),
         ("twice as attempt 1", [start, ("crash",), start]),
-        ("use a card", [start, ("start", "req-2", 0, 1, "m", (0,), 1)]),
-        ("asks for 2", [("start", "req-1", 0, 1, "m", (0,), 2)]),
-        ("has cards", [("start", "req-1", 0, 1, "m", (4,), 1)]),
-        ("starts and is done", [("end", "req-1", "done"), start]),
-        ("was done and is", [("end", "req-1", "done"), ("end", "req-1", "withdrawn")]),
+        ("shares GPUs of m", [start, ("start", "req-2", 0, 1, "m", (0,), 1)]),
+        ("requested 2", [("start", "req-1", 0, 1, "m", (0,), 2)]),
+        ("has GPUs", [("start", "req-1", 0, 1, "m", (4,), 1)]),
+        ("started although it is done", [("end", "req-1", "done"), start]),
+        ("changed from done to withdrawn", [("end", "req-1", "done"), ("end", "req-1", "withdrawn")]),
         ("is lost", [("reopened", {}.get)]),
-        ("was done and is pending", [("end", "req-1", "done"), ("reopened", {"req-1": "pending"}.get)]),
+        ("changed from done to pending", [("end", "req-1", "done"), ("reopened", {"req-1": "pending"}.get)]),
     ):
         with pytest.raises(BadHistory, match=words):
-            told(*events)
+            check(*events)
 
 
 # The daemon
 
 
 class Daemon:
-    """A leader's engine on the state stand-in, with workers that report and a program that stops at once."""
+    """A leader's engine on the simulated state service; workers report, and the program stops tasks at once."""
 
     def __init__(self):
         self.harness = LeaderHarness()
@@ -416,29 +416,29 @@
             settings, Policy(), state.elect("n0"), clock.us, clock.wall_us, Metrics(), state.record_of, state.items
         )
         self.cluster = self.harness.cluster = self.engine.cluster
-        self.cluster.set_types([msgspec.structs.replace(TYPE, zones=[])])  # none can be rented here either
+        self.cluster.set_types([msgspec.structs.replace(TYPE, zones=[])])  # no type can be rented
         self.gathered_us, self.tasks = clock.us, {}
         self.serial = dict.fromkeys((card.machine for card in SETTINGS.machines), 0)
         self.zones = {card.machine: card.zone for card in SETTINGS.machines}
         self.report()
-        self.cluster.rents_machines = False  # the fleet is what it is
+        self.cluster.rents_machines = False  # the fleet is fixed
         for machine in self.cluster.machines.values():
             machine.images["program"] = 0.0
 
     def report(self):
-        told = False
+        commanded = False
         for name in self.serial:
             self.serial[name] += 1
             listed = [(task, *state) for (host, task), state in sorted(self.tasks.items()) if host == name]
-            told = (
+            commanded = (
                 self.execute(name, self.harness.report(name, self.serial[name], *listed, zone=self.zones[name]))
-                or told
+                or commanded
             )
-        return told
+        return commanded
 
     def execute(self, name, commands):
-        """Returns whether something was to be started or stopped."""
-        told = False
+        """Executes commands; returns whether there was a task to start or stop."""
+        commanded = False
         for command in commands:
             key = (name, command.task)
             if command.op == "run":
@@ -447,9 +447,9 @@
                 self.tasks.pop(key, None)
             elif key in self.tasks and self.tasks[key][1] == "running":
                 self.tasks[key] = (command.attempt, "flushing", None)
-                told = True
-            told = told or command.op == "run"
-        return told
+                commanded = True
+            commanded = commanded or command.op == "run"
+        return commanded
 
     def round(self, specs, ended, cancelled):
         if self.harness.clock.us - self.gathered_us >= 5 * SECOND_US:
@@ -491,7 +491,10 @@
 
 
 def compare(directory, seed, rounds):
-    """Feed both the same; returns how many jobs there were, and places compared. Raises where they differ."""
+    """Gives an instance and a daemon the same jobs; returns the numbers of jobs and of placements compared.
+
+    Raises AssertionError at the first difference.
+    """
     rng, daemon = random.Random(seed), Daemon()
     program = Program(directory)
     program.clock.us = daemon.harness.clock.us
@@ -516,26 +519,26 @@
         running = sorted(daemon.running())
         ended = {name for name in running if rng.random() < 0.3}
         gangs = {name.partition("/")[0] for name in ended}
-        ended = {name for name in running if name in ended or name.partition("/")[0] in gangs}  # a gang ends whole
+        ended = {name for name in running if name in ended or name.partition("/")[0] in gangs}  # gangs end as units
         services = {name for name in gangs if daemon.cluster.jobs[name].is_service}
         ended -= {name for name in ended if name.partition("/")[0] in services}
         for clock in (daemon.harness.clock, program.clock):
             clock.pass_s(0.3)
         daemon.round(specs, ended, services)
         program.round(specs, ended, services)
-        here = {name: (task.machine, task.attempt) for name, task in program.running.items()}
-        assert here == daemon.running(), number
-        placed, jobs = placed + len(here), jobs + len(specs)
+        embedded = {name: (task.machine, task.attempt) for name, task in program.running.items()}
+        assert embedded == daemon.running(), number
+        placed, jobs = placed + len(embedded), jobs + len(specs)
     program.instance.close()
     return jobs, placed
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_the_same_jobs_are_placed_as_by_the_daemon(tmp_path, seed):
+def test_placements_equal_those_of_the_daemon(tmp_path, seed):
     """At 5,000 jobs: `compare(directory, 1, 3500)`, outside CI."""
     jobs, placed = compare(tmp_path, seed, 60)
     assert jobs > 60 and placed > 300
 
 
-def test_new_refs_are_names_that_the_daemon_takes():
+def test_new_refs_are_unique():
     assert len({new_ref() for _ in range(100)}) == 100
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The directory of an embedded instance: torn, flipped, full and failing disks; snapshots; the archive."""
+"""Storage of embedded instances: truncated and corrupted files, full and failing disks, snapshots, the archive."""
 
 import errno
 import os
@@ -20,31 +20,31 @@
 
 
 class Crash(BaseException):
-    """The process ends here."""
+    """Simulates the end of the process."""
 
 
 class FaultyDisk(Disk):
-    """Fails, or ends the process, at its nth call; a write that fails has written part of its data."""
+    """Fails, or crashes the process, at its nth call; a failing write has written part of its data."""
 
     def __init__(self, at, error=None, part=0.5):
-        self.left, self.error, self.part = at, error, part
+        self.calls_left, self.error, self.part = at, error, part
 
-    def _due(self):
-        self.left -= 1
-        return self.left == 0
+    def _is_fault_due(self):
+        self.calls_left -= 1
+        return self.calls_left == 0
 
     def _raise(self):
         raise Crash if self.error is None else OSError(self.error, os.strerror(self.error))
 
     def write(self, fd, data):
-        if self._due():
+        if self._is_fault_due():
             os.write(fd, data[: int(len(data) * self.part)])
             self._raise()
         super().write(fd, data)
 
     def _step(self, call, *args):
-        due = self._due()
-        if due and self.part < 0.5:  # before it took effect, or after
+        due = self._is_fault_due()
+        if due and self.part < 0.5:  # fail before the call takes effect; otherwise after it
             self._raise()
         call(*args)
         if due:
@@ -63,15 +63,15 @@
         self._step(super().sync_directory, path)
 
 
-def plain(journal):
+def values_of(journal):
     return {key: value for key, (value, _) in journal.items.items()}
 
 
-def newest(directory, kind):
+def newest_file(directory, kind):
     return str(directory / sorted(name for name in os.listdir(directory) if name.startswith(kind))[-1])
 
 
-def written(directory, count=20):
+def write_journal(directory, count=20):
     journal = Journal(str(directory))
     for number in range(count):
         journal.append([(f"k{number % 7}", {"n": number}), ("gone", None if number % 2 else 1)])
@@ -80,28 +80,28 @@
 
 
 @pytest.mark.real_disk
-def test_what_was_synced_is_there_again_with_its_stamps_and_what_was_not_is_not(tmp_path):
-    journal = written(tmp_path)
+def test_synced_records_are_recovered_with_their_stamps_and_others_are_not(tmp_path):
+    journal = write_journal(tmp_path)
     items, revision = dict(journal.items), journal.revision
     journal.append([("late", 1)])
     journal.close()
     with pytest.raises(Closed):
         journal.append([("later", 1)])
-    again = Journal(str(tmp_path))
-    assert (again.items, again.revision) == (items, revision)
-    assert again.append([("k0", None)]) == revision + 1
-    again.snapshot()
-    assert len(again._files()) == 2
-    again.append([("after", True)])
-    again.sync()
-    again.close()
+    reopened = Journal(str(tmp_path))
+    assert (reopened.items, reopened.revision) == (items, revision)
+    assert reopened.append([("k0", None)]) == revision + 1
+    reopened.snapshot()
+    assert len(reopened._files()) == 2
+    reopened.append([("after", True)])
+    reopened.sync()
+    reopened.close()
     last = Journal(str(tmp_path))
-    assert last.items == again.items and last.items["after"] == (True, revision + 2)
+    assert last.items == reopened.items and last.items["after"] == (True, revision + 2)
     last.close()
 
 
-def test_a_second_opener_is_told_who_has_it_and_a_child_does_not_keep_the_lock(tmp_path):
-    journal = written(tmp_path)
+def test_a_second_opener_is_refused_with_the_holders_pid_until_the_journal_is_closed(tmp_path):
+    journal = write_journal(tmp_path)
     with pytest.raises(Locked, match=str(os.getpid())):
         Journal(str(tmp_path))
     journal.close()
@@ -109,35 +109,35 @@
 
 
 @pytest.mark.parametrize("cut", range(1, 60, 7))
-def test_a_record_that_breaks_off_is_cut_off_and_the_rest_is_kept(tmp_path, cut):
-    journal = written(tmp_path)
-    before = plain(journal)
+def test_a_truncated_record_is_cut_off_and_the_others_are_recovered(tmp_path, cut):
+    journal = write_journal(tmp_path)
+    before = values_of(journal)
     journal.append([("torn", "x" * 40)])
     journal.sync()
     journal.close()
-    path = newest(tmp_path, "journal")
+    path = newest_file(tmp_path, "journal")
     os.truncate(path, os.path.getsize(path) - cut)
-    again = Journal(str(tmp_path))
-    assert plain(again) == before
-    again.append([("more", 1)])
-    again.sync()
-    again.close()
-    assert plain(Journal(str(tmp_path))) == {**before, "more": 1}
+    reopened = Journal(str(tmp_path))
+    assert values_of(reopened) == before
+    reopened.append([("more", 1)])
+    reopened.sync()
+    reopened.close()
+    assert values_of(Journal(str(tmp_path))) == {**before, "more": 1}
 
 
-def test_zeros_behind_the_last_record_are_cut_off(tmp_path):
-    journal = written(tmp_path)
-    before = plain(journal)
+def test_zeros_after_the_last_record_are_cut_off(tmp_path):
+    journal = write_journal(tmp_path)
+    before = values_of(journal)
     journal.close()
-    path = newest(tmp_path, "journal")
+    path = newest_file(tmp_path, "journal")
     os.truncate(path, os.path.getsize(path) + 4096)
-    assert plain(Journal(str(tmp_path))) == before
+    assert values_of(Journal(str(tmp_path))) == before
 
 
-def test_no_flipped_bit_is_passed_over(tmp_path):
-    """Each acknowledged record is there, or the opening says where the journal is damaged."""
-    written(tmp_path / "a", 6).close()
-    path = newest(tmp_path / "a", "journal")
+def test_every_flipped_bit_is_detected(tmp_path):
+    """A flipped bit is always reported as damage, so that no acknowledged record is lost silently."""
+    write_journal(tmp_path / "a", 6).close()
+    path = newest_file(tmp_path / "a", "journal")
     data = open(path, "rb").read()
     for bit in range(len(data) * 8):
         broken = bytearray(data)
@@ -148,14 +148,14 @@
             Journal(str(tmp_path / "a"))
         if bit % 8 == 0 and bit > HEAD.size * 8:
             copy = shutil.copytree(tmp_path / "a", tmp_path / "b", dirs_exist_ok=True)
-            Journal(str(copy), repair=True).close()  # asked for: what is before the damage
+            Journal(str(copy), repair=True).close()  # on request, the records before the damage are recovered
 
 
-def test_flipped_bits_and_unknown_formats_of_snapshots_are_named(tmp_path):
-    journal = written(tmp_path)
+def test_flipped_bits_and_unknown_formats_of_snapshots_are_reported(tmp_path):
+    journal = write_journal(tmp_path)
     journal.snapshot()
     journal.close()
-    path = newest(tmp_path, "snapshot")
+    path = newest_file(tmp_path, "snapshot")
     data = open(path, "rb").read()
     rng = random.Random(1)
     for bit in rng.sample(range(len(data) * 8), 200):
@@ -181,10 +181,10 @@
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("part", [0.0, 0.7])
-def test_after_any_error_nothing_more_is_written_and_nothing_acknowledged_is_lost(tmp_path, error, part):
+def test_after_any_error_no_write_follows_and_no_acknowledged_record_is_lost(tmp_path, error, part):
     for at in range(1, 40):
         directory = tmp_path / str(at)
-        kept, failed = {}, False
+        synced, failed = {}, False
         try:
             journal = Journal(str(directory), FaultyDisk(at, error, part))
         except StorageError:
@@ -193,81 +193,81 @@
             try:
                 journal.append([(f"k{number}", number)])
                 journal.sync()
-                kept[f"k{number}"] = number
+                synced[f"k{number}"] = number
                 if number % 5 == 4:
                     journal.snapshot()
-            except StorageError as told:
-                assert os.strerror(error) in str(told)
+            except StorageError as raised:
+                assert os.strerror(error) in str(raised)
                 failed = True
                 break
         if failed:
             with pytest.raises(Closed, match="a write failed before"):
                 journal.append([("k", 1)])
         journal.close()
-        again = plain(Journal(str(directory)))
-        assert again.items() >= kept.items() and len(again) <= len(kept) + 1, at
+        reopened = values_of(Journal(str(directory)))
+        assert reopened.items() >= synced.items() and len(reopened) <= len(synced) + 1, at
 
 
 @pytest.mark.parametrize("part", [0.0, 0.7])
-def test_a_process_may_end_at_any_call_between_snapshot_and_journal(tmp_path, part):
+def test_a_crash_at_any_call_loses_no_synced_record(tmp_path, part):
     ended = 0
     for at in range(1, 60):
         directory = tmp_path / str(at)
-        kept, journal = {}, None
+        synced, journal = {}, None
         try:
             journal = Journal(str(directory), FaultyDisk(at, None, part))
             for number in range(12):
                 journal.append([(f"k{number}", number)])
                 journal.sync()
-                kept[f"k{number}"] = number
+                synced[f"k{number}"] = number
                 if number % 3 == 2:
                     journal.snapshot()
         except Crash:
             ended += 1
         if journal is not None:
             journal.close()
-        again = Journal(str(directory))
-        assert plain(again).items() >= kept.items() and len(again.items) <= len(kept) + 1, at
-        again.close()
+        reopened = Journal(str(directory))
+        assert values_of(reopened).items() >= synced.items() and len(reopened.items) <= len(synced) + 1, at
+        reopened.close()
     assert ended > 30
 
 
 # Finished jobs
 
 
-def finished(number):
+def final_record(number):
     return {"st": JOB_DONE, "at": number, "n": 1}
 
 
-def test_finished_jobs_leave_memory_and_are_found_again(tmp_path):
+def test_finished_jobs_move_from_memory_to_the_archive(tmp_path):
     directory = Directory(str(tmp_path), snapshot_bytes=1000)
     for number in range(100):
-        value = finished(number) if number % 10 else {"st": OPEN, "at": number}
+        value = final_record(number) if number % 10 else {"st": OPEN, "at": number}
         directory.write([], [Put(keys.job_key(f"req-{number}"), value)])
     directory.sync()
     assert directory.tidy(lambda job: job == "req-7") and len(directory.items) == 11
-    assert directory.record_of("req-13") == finished(13) and directory.record_of("req-7") == finished(7)
+    assert directory.record_of("req-13") == final_record(13) and directory.record_of("req-7") == final_record(7)
     assert directory.record_of("req-10")["st"] == OPEN and directory.record_of("req-1000") is None
-    assert not directory.tidy(lambda job: False)  # it has not grown again
+    assert not directory.tidy(lambda job: False)  # it has not grown since
     key = keys.job_key("req-10")
     assert directory.write([Guard(key, 1)], [Put(key, 1)]) is None
     directory.close()
-    again = Directory(str(tmp_path))
-    assert len(again.items) == 11 and again.record_of("req-99") == finished(99)
-    again.close()
+    reopened = Directory(str(tmp_path))
+    assert len(reopened.items) == 11 and reopened.record_of("req-99") == final_record(99)
+    reopened.close()
 
 
-def test_a_flipped_bit_of_an_archived_record_is_named(tmp_path):
+def test_a_flipped_bit_of_an_archived_record_is_reported(tmp_path):
     directory = Directory(str(tmp_path), snapshot_bytes=1)
-    directory.write([], [Put(keys.job_key("req-1"), finished(123456))])
+    directory.write([], [Put(keys.job_key("req-1"), final_record(123456))])
     directory.sync()
     directory.tidy(lambda job: False)
     directory.close()
     path = tmp_path / "finished.sqlite"
     data = path.read_bytes()
-    body = msgspec.msgpack.encode(finished(123456))
+    body = msgspec.msgpack.encode(final_record(123456))
     assert data.count(body) == 1
     path.write_bytes(data.replace(body, body[:-1] + bytes([body[-1] ^ 1])))
-    again = Directory(str(tmp_path))
+    reopened = Directory(str(tmp_path))
     with pytest.raises(Damaged, match="the checksum of req-1 is wrong"):
-        again.record_of("req-1")
+        reopened.record_of("req-1")
