--- a/tools/measure_takeover.py
+++ b/tools/measure_takeover.py
@@ -15,7 +15,8 @@
 
 SCRIPT = r"""
 import json, resource, sys, time
-from tideusher.config import (CloudSettings, Config, Endpoints, Policy, Site, StateSettings, Team, WorkerSettings)
+from tideusher.config import (CloudSettings, Config, DeploymentSettings, Endpoints, Policy, StateSettings, Team,
+                              WorkerSettings)
 from tideusher.metrics import Metrics
 try:
     from tideusher.core.lead.engine import Engine
@@ -28,8 +29,8 @@
 
 machines, jobs = int(sys.argv[1]), int(sys.argv[2])
 teams = [Team(f"team-{n}", gpus=machines / 2, gpus_max=4.0 * machines) for n in range(6)]
-site = Site(3, ["a", "b"], WorkerSettings(2.0, 13.0, 40.0, 4.0, 38.0), StateSettings(500.0, 90.0, 8.0, 12),
-            CloudSettings(10.0, 3.0), teams)
+site = DeploymentSettings(3, ["a", "b"], WorkerSettings(2.0, 13.0, 40.0, 4.0, 38.0),
+                          StateSettings(500.0, 90.0, 8.0, 12), CloudSettings(10.0, 3.0), teams)
 config = Config("n0", "a", "127.0.0.1:1", "127.0.0.1:2", Endpoints("127.0.0.1:3", "127.0.0.1:4"), site)
 wall = 1_700_000_000_000_000
 kind = {"sku": "m4", "cores": 16.0, "gpus": 4.0, "ram_gb": 64.0, "local_gb": 100.0, "fetch_gb_per_s": 1.0,
@@ -75,19 +76,19 @@
     standby.begin(now)
     longest, more = 0.0, True
     while more:
-        more, ms = held(lambda: standby.piece(now))
+        more, ms = held(lambda: standby.apply_step(now))
         longest, follow = max(longest, ms), follow + ms
     caught, takeover, longest = None, 0.0, 0.0
     while caught is None:
         caught, ms = held(lambda: standby.catch_up(now))
         takeover, longest = takeover + ms, max(longest, ms)
-    engine, ms = held(lambda: Engine(*args, picture=caught.picture))
+    engine, ms = held(lambda: Engine(*args, cluster_state=caught.cluster_state))
     takeover, longest = takeover + ms, max(longest, ms)
 total, most, more = 0.0, 0.0, True
 more, ms = held(lambda: engine.tick(now + 2_000_000))
 total, most = ms, ms
 while more:
-    more, ms = held(engine.go_on)
+    more, ms = held(engine.continue_pass)
     total, most = total + ms, max(most, ms)
 print(json.dumps({"takeover": takeover, "hold": longest, "pass": total, "piece": most, "followed": follow,
                   "mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024}))
