--- a/tools/compare_loopback.py
+++ b/tools/compare_loopback.py
@@ -1,8 +1,8 @@
-"""The same jobs to an embedded instance and to a daemon over HTTP.
+"""Compares the placements of an embedded instance and of a daemon over HTTP that get the same jobs.
 
-Not a test: `python tools/compare_loopback.py --rounds N`, with `PYTHONPATH=src:tests`.
-The daemon is its real parts (store, users, leader) against the state service's stand-in on loopback; only its clock
-and its ticks are the tool's, so that both see the same moments. Places are compared after every round.
+Usage: `python tools/compare_loopback.py --rounds N`, with `PYTHONPATH=src:tests`.
+The daemon consists of its real parts (store, users, leader) with the state service's stand-in on loopback. This
+tool drives only its clock and its ticks, so that both see the same times. Placements are compared after each round.
 """
 
 import itertools
@@ -30,17 +30,17 @@
 PORTS = itertools.count(18932)
 
 
-class Nothing:
-    """A cloud that is asked for nothing: the fleet is what it is."""
+class IdleCloud:
+    """A cloud that answers nothing: the fleet stays as it is."""
 
     types = machines = None
 
     def submit(self, *_: Any) -> None:
-        """No answer ever comes."""
+        """Drop the request; no answer ever comes."""
 
 
 class Election:
-    """One leader, elected once."""
+    """An election whose leader and token never change."""
 
     def __init__(self, token: int) -> None:
         self.token = token
@@ -50,7 +50,7 @@
 
 
 class LoopbackDaemon(test_embed.Daemon):
-    """The daemon's parts, spoken to as users and workers do; the rounds are those of the test's daemon."""
+    """The daemon's real parts, used through the calls of users and workers, in the rounds of the test's daemon."""
 
     def __init__(self) -> None:
         self.harness = LeaderHarness()
@@ -67,7 +67,7 @@
         self.store = Store(config, clock, Metrics())
         self.store._load()
         self.users = Users(config, clock, self.store, conditions=True)
-        self.leader = Leader(config, Policy(), clock, self.store, Election(token), Nothing(), Metrics())  # type: ignore[arg-type]
+        self.leader = Leader(config, Policy(), clock, self.store, Election(token), IdleCloud(), Metrics())  # type: ignore[arg-type]
         self.store.listen(self.leader._on_change)
         Actor.start(self.leader)
         self.leader._loading = True
@@ -76,7 +76,7 @@
         self.engine = self.leader._engine
         self.cluster = self.engine.cluster
         self.cluster.set_types([msgspec.structs.replace(TYPE, zones=[])])
-        self.quiet()
+        self.drain()
         self.gathered_us, self.tasks, self.requests = clock.us, {}, 0
         self.serial = dict.fromkeys((card.machine for card in test_embed.SETTINGS.machines), 0)
         self.zones = {card.machine: card.zone for card in test_embed.SETTINGS.machines}
@@ -85,8 +85,8 @@
         for machine in self.cluster.machines.values():
             machine.images["program"] = 0.0
 
-    def quiet(self) -> None:
-        """Until all that was begun is written and told."""
+    def drain(self) -> None:
+        """Wait until all work in progress is written and acted on."""
         keeper = self.cluster.keeper
         while True:
             gevent.sleep(0)
@@ -96,6 +96,7 @@
                 return
 
     def report(self) -> bool:
+        """Report all machines and execute the answered commands; True if a task changed."""
         reports = []
         for name in self.serial:
             self.serial[name] += 1
@@ -104,19 +105,20 @@
             reports.append(
                 Report(name, "127.0.0.1:9", "m4", self.zones[name], False, 1, self.serial[name], token, None, listed)
             )
-        told = False
+        changed = False
         for name, commands in zip(self.serial, self.leader.answer_reports(reports).get(), strict=True):
-            told = self.execute(name, commands.commands) or told
-        return told
+            changed = self.execute(name, commands.commands) or changed
+        return changed
 
     def settle(self) -> None:
+        """Report and tick until nothing changes; tasks that were saving their state then exit."""
         saving = True
         while saving:
             busy = True
             while busy:
                 busy = self.report()
                 self.leader.ask("tick").get()
-                self.quiet()
+                self.drain()
                 busy = busy or self.cluster.dirty or any(task.sent is None for task in self.placed())
                 busy = busy or any(
                     task.halt_grace_s is not None and self.tasks[task.machine.name, task.name][1] == "running"
@@ -136,12 +138,12 @@
         self.settle()
         for name in sorted(cancelled):
             assert self.users.cancel(name).status == 200
-            self.quiet()
+            self.drain()
             self.settle()
         for spec in specs:
             reply = self.users.submit(msgspec.json.encode(spec))
             assert reply.status == 201, reply
-        self.quiet()
+        self.drain()
         self.settle()
 
 
@@ -149,10 +151,10 @@
 @click.option("--rounds", default=200, show_default=True)
 @click.option("--seed", default=1, show_default=True)
 def main(rounds: int, seed: int) -> None:
-    """Compare, and say over how much; a difference ends it with the round."""
+    """Compare and print how much was compared; a difference ends the run with an error."""
     test_embed.Daemon = LoopbackDaemon  # type: ignore[misc]
     jobs, placed = test_embed.compare(tempfile.mkdtemp(), seed, rounds)
-    print(f"seed {seed}: {rounds} rounds, {jobs:,} jobs, {placed:,} places compared over loopback: no difference")
+    print(f"seed {seed}: {rounds} rounds, {jobs:,} jobs, {placed:,} placements compared over loopback: no difference")
 
 
 if __name__ == "__main__":
--- a/tools/measure_conditions.py
+++ b/tools/measure_conditions.py
@@ -1,7 +1,7 @@
-"""What scripts and conditions cost. Not a test: `python tools/measure_conditions.py --part PART`.
+"""Measures the cost of PBS scripts and of conditions on jobs: `python tools/measure_conditions.py --part PART`.
 
-Prints one line a figure. Everything runs on the tests' stand-ins in one process; the times are this
-machine's, so ratios are what to look at: each figure stands beside the same without conditions.
+Prints one line per figure. Everything runs on the tests' stand-ins in one process. The times are this machine's, so
+compare ratios: each figure is printed next to the same figure without conditions.
 """
 
 import gc
@@ -28,55 +28,55 @@
 
 
 def translations(seconds: float = 2.0) -> None:
-    """All samples that are accepted, over and over."""
+    """Translate all accepted samples repeatedly for `seconds` each, without and with packing, and print the rates."""
     profile = load_settings(str(SAMPLES / "profile.properties")).profile
     assert profile is not None
     texts = [p.read_bytes() for p in SAMPLES.glob("*.pbs") if p.with_suffix(".json").exists()]
     now = datetime(2027, 1, 2, tzinfo=UTC)
-    for what in ("read and translated", "packed as well"):
-        count, began = 0, time.perf_counter()
-        while time.perf_counter() - began < seconds:
+    for work in ("read and translated", "packed as well"):
+        count, started_s = 0, time.perf_counter()
+        while time.perf_counter() - started_s < seconds:
             for text in texts:
-                got = translate(read_script(text), profile, "req-000412", now)
-                if what != "read and translated":
-                    pack(got.run, text, 8192, 11)
+                translated = translate(read_script(text), profile, "req-000412", now)
+                if work != "read and translated":
+                    pack(translated.run, text, 8192, 11)
                 count += 1
-        print(f"scripts {what}: {count / (time.perf_counter() - began):,.0f} a second ({len(texts)} samples)")
+        print(f"scripts {work}: {count / (time.perf_counter() - started_s):,.0f} per second ({len(texts)} samples)")
 
 
 def pass_steps(harness: LeaderHarness) -> tuple[float, float]:
-    """A whole pass: its time and its longest piece, in ms."""
+    """Run a complete pass; returns its time and that of its longest step, in ms."""
     longest = total = 0.0
-    the_pass = harness.scheduler.pass_steps(harness.clock.now_us())
+    steps = harness.scheduler.pass_steps(harness.clock.now_us())
     while True:
-        began = time.perf_counter()
-        ended = next(the_pass, "end")
-        took = time.perf_counter() - began
-        longest, total = max(longest, took), total + took
-        if ended == "end":
+        started_s = time.perf_counter()
+        result = next(steps, "end")
+        took_s = time.perf_counter() - started_s
+        longest, total = max(longest, took_s), total + took_s
+        if result == "end":
             return total * 1000, longest * 1000
 
 
-def fleet(harness: LeaderHarness) -> None:
-    """Machines that are up and heard, so that what is released finds room."""
+def add_machines(harness: LeaderHarness) -> None:
+    """Add machines that are up and have reported, so that released jobs find free capacity."""
     names = [f"host-{number:06d}" for number in range(MACHINES)]
     harness.cluster.rentals["r"] = Rental("r", TYPE.name, "a", False, MACHINES, True, names)
     for number, name in enumerate(names):
-        one = Machine(name, TYPE.name, "ab"[number % 2], False, "r", TYPE.cpus, TYPE.gpus, TYPE.ram_gb, 0)
-        one.phase, one.last_contact_us, one.session, one.serial = UP, harness.clock.now_us(), 1, 1
-        harness.cluster.machines[name] = one
+        machine = Machine(name, TYPE.name, "ab"[number % 2], False, "r", TYPE.cpus, TYPE.gpus, TYPE.ram_gb, 0)
+        machine.phase, machine.last_contact_us, machine.session, machine.serial = UP, harness.clock.now_us(), 1, 1
+        harness.cluster.machines[name] = machine
 
 
 def release(jobs: int) -> None:
-    """One job ends, and so many that waited for it may start; beside as many that came without a condition."""
+    """Measure the release of `jobs` jobs by the end of one job, and the same number of jobs without dependencies."""
     small = {"gpus": 0.1, "cpus": 0.1, "ram_gb": 0.1}
-    for what in ("without dependencies", "released by one end"):
+    for variant in ("without dependencies", "released by one end"):
         harness = LeaderHarness()
         first = job()
         harness.submit(first)
-        held = what == "released by one end"
+        depends = variant == "released by one end"
         for _ in range(jobs):
-            after = [After("afterany", first.id)] if held else None
+            after = [After("afterany", first.id)] if depends else None
             spec = job(after=after, **small)
             harness.state.items[keys.job_key(spec.id)] = (
                 open_value(spec, harness.clock.wall_us()),
@@ -84,35 +84,35 @@
             )
         harness.see_jobs()
         harness.commit()
-        idle = pass_steps(harness)
-        fleet(harness)
+        idle_ms = pass_steps(harness)
+        add_machines(harness)
         harness.state.cancel(first.id)
         harness.see_jobs()
-        written = harness.state.tide
+        tide_before = harness.state.tide
         steps_ms, more = [], True
         while more:
-            began = time.perf_counter()
+            started_s = time.perf_counter()
             more = harness.cluster.conditions.step(harness.clock.now_us())
-            steps_ms.append((time.perf_counter() - began) * 1000)
-        release_writes = harness.state.tide - written
+            steps_ms.append((time.perf_counter() - started_s) * 1000)
+        release_writes = harness.state.tide - tide_before
         ready = len(harness.cluster.active)
         total, longest = pass_steps(harness)
         print(
-            f"{jobs:,} jobs {what}: {ready:,} ready after {sum(steps_ms):.0f} ms "
-            f"(longest piece {max(steps_ms):.1f} ms) and {release_writes} writes; "
-            f"next pass {total:.0f} ms, its longest piece {longest:.0f} ms; pass before {idle[0]:.1f} ms"
+            f"{jobs:,} jobs {variant}: {ready:,} ready after {sum(steps_ms):.0f} ms "
+            f"(longest step {max(steps_ms):.1f} ms) and {release_writes} writes; "
+            f"next pass {total:.0f} ms, its longest step {longest:.0f} ms; pass before {idle_ms[0]:.1f} ms"
         )
 
 
 def resident_mb() -> float:
-    """What this process holds."""
+    """Returns the resident memory of this process in MB."""
     gc.collect()
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * resource.getpagesize() / 1e6
 
 
 def memory(jobs: int, chained: bool) -> None:
-    """So many open jobs in one leader: the mirrored records, and the picture made of them."""
+    """Measure the memory of open jobs in one leader: the mirrored records, and the cluster state built from them."""
     before, harness, last = resident_mb(), LeaderHarness(), None
     for _ in range(jobs):
         spec = job(after=[After("afterok", last)] if last and chained else None)
@@ -120,16 +120,16 @@
         harness.state.items[keys.job_key(spec.id)] = (value, 1)
         last = spec.id
     records = resident_mb()
-    began = time.perf_counter()
+    started_s = time.perf_counter()
     harness.see_jobs()
-    load_s = time.perf_counter() - began
+    load_s = time.perf_counter() - started_s
     cluster_state = resident_mb()
     pass_steps(harness)
     total, longest = pass_steps(harness)
     print(
-        f"{jobs:,} open jobs {'each after the one before' if chained else 'without conditions'}: "
-        f"records {records - before:.0f} MB, picture {cluster_state - records:.0f} MB, read in {load_s:.1f} s; "
-        f"a pass {total:.0f} ms, its longest piece {longest:.0f} ms"
+        f"{jobs:,} open jobs {'each after the previous job' if chained else 'without conditions'}: "
+        f"records {records - before:.0f} MB, cluster state {cluster_state - records:.0f} MB, read in {load_s:.1f} s; "
+        f"a pass {total:.0f} ms, its longest step {longest:.0f} ms"
     )
 
 
@@ -138,7 +138,7 @@
 @click.option("--open", "open_jobs", default=100_000, show_default=True, help="Open jobs held in memory.")
 @click.option("--part", type=click.Choice(["scripts", "release", "plain", "chain"]), required=True)
 def main(jobs: int, open_jobs: int, part: str) -> None:
-    """Measure one part; each in a process of its own, or memory would not be told apart."""
+    """Measure one part; run each in a process of its own, since they would share the measured memory."""
     if part == "scripts":
         translations()
     elif part == "release":
