--- a/tools/compare_loopback.py
+++ b/tools/compare_loopback.py
@@ -87,12 +87,12 @@
 
     def drain(self) -> None:
         """Wait until all work in progress is written and acted on."""
-        keeper = self.cluster.keeper
+        queue = self.cluster.write_queue
         while True:
             gevent.sleep(0)
-            if keeper.waiting and not keeper._in_flight:
+            if queue.waiting and not queue._in_flight:
                 self.leader._act(self.engine)
-            if not (keeper.waiting or keeper._in_flight or self.engine._pass or not self.leader._inbox.empty()):
+            if not (queue.waiting or queue._in_flight or self.engine._pass or not self.leader._inbox.empty()):
                 return
 
     def report(self) -> bool:
