--- a/tools/play_served.py
+++ b/tools/play_served.py
@@ -37,16 +37,16 @@
 COLUMNS = "site day seed rules mark least-class least-team largest latest-s idle slips stops-after-s".split()
 COLUMNS += "refused ended cpu-s peak-MB sockets verdict".split()
 ACCEPTED = re.compile(r"\s*([\d.]+) \S+ I users: accepted (\S+) of (\S+): (?:batch|gang)")
-SHAPED = re.compile(r"\s*([\d.]+) \S+ I users: accepted (\S+) of (\S+): (\S+) of (\d+)")
+ACCEPTED_SHAPE = re.compile(r"\s*([\d.]+) \S+ I users: accepted (\S+) of (\S+): (\S+) of (\d+)")
 DONE = re.compile(r"cluster: job (\S+) is done")
 CANCELLED = re.compile(r"cancelled (\S+) for its user")
-TOLD = re.compile(r"\s*([\d.]+) \S+ I users: cancelled (\S+) for its user")
-STOPS = re.compile(r"\s*([\d.]+) \S+ I cluster: stop (\S+)/\d+ attempt \d+ on \S+: its user cancelled it")
+CANCEL_CONFIRMED = re.compile(r"\s*([\d.]+) \S+ I users: cancelled (\S+) for its user")
+STOP = re.compile(r"\s*([\d.]+) \S+ I cluster: stop (\S+)/\d+ attempt \d+ on \S+: its user cancelled it")
 MARK = re.compile(r"(?m)^\S+\s+\d+\s+(\d\.\d\d)\s")
-SPENT = re.compile(r"([\d.]+) s for the world, ([\d.]+) s in the processes' own code and ([\d.]+) s in the k")
-WHOLE = re.compile(r"cluster: job (\S+) of \S+ runs whole: (\d+) tasks, ([\d.]+) s after")
+CPU_TIME = re.compile(r"([\d.]+) s for the world, ([\d.]+) s in the processes' own code and ([\d.]+) s in the k")
+ALL_TASKS_RUN = re.compile(r"cluster: job (\S+) of \S+ runs whole: (\d+) tasks, ([\d.]+) s after")
 #: The users' bounds on processor time, and on the time until the largest jobs start.
-LIMIT_S, BEGIN_S = 400.0, 240.0
+CPU_LIMIT_S, LARGEST_START_LIMIT_S = 400.0, 240.0
 
 
 def least_class(classes: dict[str, dict]) -> tuple[float, str]:
@@ -90,12 +90,12 @@
 
     The largest jobs are the largest tenth by tasks, for each shape, of those that ran with all their tasks.
     """
-    shapes = {found[2]: found[4] for line in log.splitlines() if (found := SHAPED.match(line))}
+    shapes = {found[2]: found[4] for line in log.splitlines() if (found := ACCEPTED_SHAPE.match(line))}
     complete: dict[str, list[tuple[int, float, str]]] = {}
     logged = set()
     for line in log.splitlines():
         # Each leader logs this once for a job; the first line counts.
-        if (found := WHOLE.search(line)) and found[1] not in logged:
+        if (found := ALL_TASKS_RUN.search(line)) and found[1] not in logged:
             logged.add(found[1])
             complete.setdefault(shapes.get(found[1], "-"), []).append((int(found[2]), float(found[3]), found[1]))
     longest = [(0.0, "-")]
@@ -113,9 +113,9 @@
     confirmed_s: dict[str, float] = {}
     delays = [(0.0, "-")]
     for line in log.splitlines():
-        if found := TOLD.match(line):
+        if found := CANCEL_CONFIRMED.match(line):
             confirmed_s.setdefault(found[2], float(found[1]))
-        elif (found := STOPS.match(line)) and found[2] in confirmed_s:
+        elif (found := STOP.match(line)) and found[2] in confirmed_s:
             delays.append((float(found[1]) - confirmed_s[found[2]], found[2]))
     return max(delays)
 
@@ -126,7 +126,7 @@
     by_size, latest = least_largest(report.get("largest", {})), latest_largest(log)
     nodes = report["node_stats"]
     ended = sum(node["panics"] + sum("memory" in str(end) for end in node["restarts"]) for node in nodes)
-    spent = sum(map(float, found.groups())) if (found := SPENT.search(log)) else 0.0
+    cpu_s = sum(map(float, found.groups())) if (found := CPU_TIME.search(log)) else 0.0
     mark = found[1] if (found := MARK.search(log)) else "-"
     broken = report["rules_broken"]["total"]
     idle = report.get("idle", {})
@@ -138,11 +138,11 @@
             (broken, f"RULES {report['rules_broken']['by_kind']}"),
             (ended, "ENDED"),
             (by_class[0] < 0.5 or by_team[0] < 0.5 or by_size[0] < 0.5, "STARVED"),
-            (latest[0] > BEGIN_S, f"LATE {latest[1]}"),
+            (latest[0] > LARGEST_START_LIMIT_S, f"LATE {latest[1]}"),
             (neglected, f"NEGLECTED {neglected}"),
             (slips, f"SLIPS {slips}"),
             ("forgotten" in report["rules_broken"]["by_kind"], "UNANSWERED"),
-            (spent > LIMIT_S, "SLOW"),
+            (cpu_s > CPU_LIMIT_S, "SLOW"),
         )
         if bad
     ]
@@ -151,7 +151,7 @@
     cells += [str(neglected), str(sum(slips.values()) if isinstance(slips, dict) else len(slips)), f"{stop_s:.0f}"]
     refused = sum(report["users"]["errors"].values())
     peaks = (max(node[figure] for node in nodes) for figure in ("memory_peak_mb", "connections_peak"))
-    cells += [str(refused), str(ended), f"{spent:.0f}", *(f"{peak:.0f}" for peak in peaks)]
+    cells += [str(refused), str(ended), f"{cpu_s:.0f}", *(f"{peak:.0f}" for peak in peaks)]
     cells.append(" ".join(verdict) or "ok")
     return cells, bool(verdict)
 
