--- a/tools/soak_planted.py
+++ b/tools/soak_planted.py
@@ -33,7 +33,7 @@
         Change("actors/leader.py", "if token <= self._last_token:", "if False:"),
     ],
     "a lapsed answer": [
-        Change("actors/users.py", "if missing and not fresh and not self._store.sync():", "if False:"),
+        Change("actors/users.py", "if missing and not is_fresh and not self._store.sync():", "if False:"),
         Change("actors/users.py", "if not self._store.sync():", "if False:"),
     ],
     "a cancel that stops at one node": [
