--- a/src/tideusher/actors/leader.py
+++ b/src/tideusher/actors/leader.py
@@ -494,7 +494,7 @@
     def on_gather(self) -> None:
         """Adds the charges of the last interval to the ledger."""
         if self._cluster is not None:
-            self._cluster.gather(self._clock.now_us())
+            self._cluster.charge_usage(self._clock.now_us())
 
     def on_survey(self) -> None:
         """Requests machine types and the machine list, and returns machines that are overdue to boot."""
@@ -557,8 +557,8 @@
         token, orders = engine.token, engine.orders()
         for rental in orders.rent:
             self._rent(token, rental)
-        for first in range(0, len(orders.request_return), cloud_wire.MAX_MACHINES_PER_RETURN):
-            self._return_machines(token, orders.request_return[first : first + cloud_wire.MAX_MACHINES_PER_RETURN])
+        for first in range(0, len(orders.to_return), cloud_wire.MAX_MACHINES_PER_RETURN):
+            self._return_machines(token, orders.to_return[first : first + cloud_wire.MAX_MACHINES_PER_RETURN])
         for machine, commands in orders.direct.items():
             # A machine that has not reported to us has an address if another controller or the cloud's list gave one.
             if machine.address and machine.phase != RETURNING:
@@ -632,7 +632,7 @@
             return
         now_us = self._clock.now_us()
         subject = f"report of {report.machine}"
-        self._failures.apply_input(subject, now_us, lambda: engine.reports.look(report, now_us))
+        self._failures.apply_input(subject, now_us, lambda: engine.reports.apply(report, now_us))
         self._act(engine)
 
     def _probe(self, token: int, machine: Machine) -> None:
--- a/src/tideusher/actors/store.py
+++ b/src/tideusher/actors/store.py
@@ -91,7 +91,7 @@
         self._tokens = min(self._burst, self._tokens + self._rate * (now_us - self._at_us) / SECOND_US)
         self._at_us = now_us
 
-    def give_back(self, amount: float) -> None:
+    def refund(self, amount: float) -> None:
         """Returns tokens that were taken and will not be used."""
         self._tokens += amount
 
@@ -272,7 +272,7 @@
             is_leader_batch = patience_s is None
             pause_s = self._writes.wait_s(len(writes), 0 if is_leader_batch else self._queued_leader_writes)
             if patience_s is not None and pause_s > patience_s:
-                self._writes.give_back(len(writes))
+                self._writes.refund(len(writes))
                 raise Throttled("the write budget is spent")
             self._metrics.count("state_writes", "", len(writes))
             if pause_s:
@@ -416,7 +416,7 @@
             if number == 0:
                 self.placements.own_changed(job, value, stamp)
         elif is_final(key, value):
-            self.placements.is_over(key[len(keys.JOB_PREFIX) :])
+            self.placements.job_ended(key[len(keys.JOB_PREFIX) :])
 
     def _is_open(self, job: str) -> bool:
         stored = self.mirror.get(keys.job_key(job))
--- a/src/tideusher/actors/users.py
+++ b/src/tideusher/actors/users.py
@@ -126,7 +126,7 @@
         """Accepts a well-formed job; `more` holds further writes for the same transaction."""
         if self._store.mirror.get(keys.job_key(spec.id)) is not None:
             return self._state(spec.id)
-        self._metrics.job("asked", spec.job_class, spec.team if spec.team in self._teams else "unknown")
+        self._metrics.count_job("asked", spec.job_class, spec.team if spec.team in self._teams else "unknown")
         key, value = keys.job_key(spec.id), open_value(spec, self._clock.wall_us())
         problem = self._requirements_refusal(spec) or self._conditions_refusal(spec)
         if problem is None and len(msgspec.json.encode(value)) > self._max_value_bytes:
@@ -153,7 +153,7 @@
             self.log.info("could not accept %s now: %s", spec.id, error)
             return refusal(503, "the state service does not answer")
         self.log.info("accepted %s of %s: %s of %d", spec.id, spec.team, spec.shape, spec.tasks)
-        self._metrics.job("accepted", spec.job_class, spec.team)
+        self._metrics.count_job("accepted", spec.job_class, spec.team)
         if self._clock.now_us() - sent_us > PROMPT_ACCEPTANCE_US or self._store.stamp_of(key) > revision:
             # Other nodes may have read the job before our answer came. Without the new read a user who had learned
             # from one of them that it ended was then told here that it is pending.
--- a/src/tideusher/core/decide/fleet.py
+++ b/src/tideusher/core/decide/fleet.py
@@ -137,7 +137,7 @@
         pause = to_us(self._policy.fleet__capacity_backoff_s) * (1 << min(times, 2))
         self._backoffs[kind] = (now_us + pause, times + 1)
 
-    def refused_before(self, kind: tuple[str, str, bool], until_us: int, times: int) -> None:
+    def restore_refusal(self, kind: tuple[str, str, bool], until_us: int, times: int) -> None:
         """Restore a refusal that an earlier leader received; its back-off continues."""
         self._backoffs.setdefault(kind, (until_us, times))
 
--- a/src/tideusher/core/decide/limits.py
+++ b/src/tideusher/core/decide/limits.py
@@ -20,7 +20,7 @@
 
     wall_us: Callable[[], int]
 
-    def touch_chunk(self, job: Job, index: int, effect: None = None, urgent: bool = True) -> None:
+    def enqueue_chunk(self, job: Job, index: int, effect: None = None, urgent: bool = True) -> None:
         """Queue the record that holds this task for writing."""
 
     def enforce_limit(self, task: Task) -> None:
@@ -46,7 +46,7 @@
             task.running_us = min(now_us, now_us - (since_us - task.began_s * SECOND_US))
         else:
             task.began_s = max(1, since_us // SECOND_US)
-            self._c.touch_chunk(task.job, task.index, urgent=False)
+            self._c.enqueue_chunk(task.job, task.index, urgent=False)
         heapq.heappush(self._expirations, (task.running_us + to_us(limit_s), next(self._sequence), task))
 
     def step(self, now_us: int) -> None:
--- a/src/tideusher/core/decide/mass_failures.py
+++ b/src/tideusher/core/decide/mass_failures.py
@@ -124,7 +124,7 @@
     """The outcome of a review: machines to call, and by zone the machines to return with the evidence."""
 
     probes: list[Probe] = field(default_factory=list)
-    fallen: dict[str, list[tuple[Machine, str]]] = field(default_factory=dict)
+    failed_machines: dict[str, list[tuple[Machine, str]]] = field(default_factory=dict)
     list_due: bool = False  # request the cloud's list now
 
 
@@ -222,9 +222,9 @@
             result.probes += calls
             calls_left -= len(calls)
             if verdict.kind == FAILED:
-                fallen = self._failed_machines(silent, verdict, now_us)
-                if fallen:
-                    result.fallen[zone] = fallen
+                failed_machines = self._failed_machines(silent, verdict, now_us)
+                if failed_machines:
+                    result.failed_machines[zone] = failed_machines
             elif verdict.kind == PARTITIONED:
                 result.list_due = result.list_due or self._list_due(silent, now_us)
         return result
--- a/src/tideusher/core/decide/reachability.py
+++ b/src/tideusher/core/decide/reachability.py
@@ -18,7 +18,7 @@
 from tideusher.core.model.records import UP, Machine
 
 #: After this many ignored answers in a row the worker counts as unresponsive; after the pause it is tried again.
-DEAF_AFTER = 3
+UNRESPONSIVE_AFTER = 3
 RETRY_PAUSE_US = 10 * SECOND_US
 #: After this many missing reports in a row the worker may be unable to report.
 MISSING_REPORTS = 3
@@ -35,7 +35,7 @@
         return False
     machine.ignored_answers += 1
     machine.ignored_answer_us = now_us
-    if machine.ignored_answers < DEAF_AFTER:
+    if machine.ignored_answers < UNRESPONSIVE_AFTER:
         return False
     machine.unresponsive_until_us = now_us + RETRY_PAUSE_US
     return True
--- a/src/tideusher/core/lead/cluster.py
+++ b/src/tideusher/core/lead/cluster.py
@@ -218,7 +218,7 @@
             self.write_queue.enqueue(self._fence)
         for name in [] if wanted else list(self.pages.pages_by_job):
             if name in self.jobs:
-                self.touch_chunk(self.jobs[name], 0, urgent=False)
+                self.enqueue_chunk(self.jobs[name], 0, urgent=False)
 
     def _fence_value(self) -> Any:
         """Returns the fence record: NULL while there may be pages, to keep out versions that cannot read them."""
@@ -268,7 +268,7 @@
         """True if the present state of the task's chunk is in the state service."""
         return self.write_queue.is_written(self._chunk_entry(job, job.chunk_of(index)))
 
-    def touch_chunk(self, job: Job, index: int, effect: Effect | None = None, urgent: bool = True) -> None:
+    def enqueue_chunk(self, job: Job, index: int, effect: Effect | None = None, urgent: bool = True) -> None:
         """Enqueues the write of the task's chunk; `effect` runs once it is in the state service."""
         chunk = job.chunk_of(index)
         self.write_queue.enqueue(self._chunk_entry(job, chunk), effect, urgent)
@@ -363,7 +363,7 @@
         def persisted() -> None:
             if job.status == OPEN:
                 if status == JOB_DONE:
-                    self.metrics.job("done", job.spec.job_class, job.spec.team)
+                    self.metrics.count_job("done", job.spec.job_class, job.spec.team)
                 job.status, job.stamp, job.why = status, entry.stamp, why
                 self._retire(job)
                 self.dirty = True  # as when the leader reads its own record first
@@ -412,7 +412,7 @@
         # The write for the last task of a finished job is urgent, as `done` waits for it: the members of a gang
         # report their exits one by one after the gang's completion was written.
         over = job.status == OPEN and job.over_count == job.spec.tasks
-        self.touch_chunk(job, task.index, urgent=over)
+        self.enqueue_chunk(job, task.index, urgent=over)
         self.dirty = True
         target = task.move_to
         if (
@@ -454,7 +454,7 @@
         """Adds a stop to the job's record, which keeps the latest MAX_STOPS_KEPT."""
         job.stops.append({"at": self.wall_us(), "task": task.index, "on": task.machine.name, "why": reason})
         del job.stops[:-MAX_STOPS_KEPT]
-        self.touch_chunk(job, 0, urgent=False)  # the record of stops is kept for later leaders
+        self.enqueue_chunk(job, 0, urgent=False)  # the record of stops is kept for later leaders
 
     # ---------------------------------------------------------------- outcomes of tasks
 
@@ -481,7 +481,7 @@
         indexes = range(job.spec.tasks) if job.is_gang else (index,)
         for number in indexes:
             if job.mark_done(number):
-                self.touch_chunk(job, number)
+                self.enqueue_chunk(job, number)
                 self.dirty = True  # only the first time, not for each further report that lists it
         job.failures = 0
 
@@ -509,7 +509,7 @@
         job.all_started = True
         if all(task.ready_us is not None for task in job.live.values()):
             return  # all its tasks ran under an earlier leader, which logged that
-        self.metrics.job("started", job.spec.job_class, job.spec.team)
+        self.metrics.count_job("started", job.spec.job_class, job.spec.team)
         waited_s = to_s(max(0, self.wall_us() - job.submitted_us))
         spec = job.spec
         message = "job %s of %s runs whole: %d tasks, %.1f s after it came"
@@ -524,7 +524,7 @@
         job = task.job
         for index in range(job.spec.tasks) if job.is_gang else (task.index,):
             if job.mark_failed(index):
-                self.touch_chunk(job, index, partial(self._stop_over_limit, job, index))
+                self.enqueue_chunk(job, index, partial(self._stop_over_limit, job, index))
                 self.metrics.count("tasks_over_limit")
         self.dirty = True
 
@@ -635,7 +635,7 @@
     def review_silent_machines(self, now_us: int, probing: Set[str]) -> SilenceReview:
         """Requests the return of silent machines that have failed; returns the review with the machines to probe."""
         findings = self.mass_failures.review(now_us, probing)
-        for zone, machines in findings.fallen.items():
+        for zone, machines in findings.failed_machines.items():
             self._return_failed(zone, machines, self.mass_failures.has_many_silent(zone), now_us)
         return findings
 
@@ -805,7 +805,7 @@
         """True if the state service takes writes now, so that tasks stopped for a move start again at once."""
         return self.writable and now_us - self.last_saved_us < 2 * to_us(self.policy.ledger__gather_s)
 
-    def gather(self, now_us: int) -> None:
+    def charge_usage(self, now_us: int) -> None:
         """Charges the teams for what ran; the ratios are written as one value."""
         self.ledger.set_fleet(m for m in self.machines.values() if m.phase != RETURNING)
         elapsed_h = self.policy.ledger__gather_s / 3600
@@ -814,7 +814,7 @@
             if kind is not None:
                 price = kind.spot_price if machine.spot else kind.price
                 self.metrics.count("money", "spot" if machine.spot else "ordinary", price * elapsed_h)
-        self.ledger.gather(
+        self.ledger.charge_usage(
             ((t, self.min_run_us(t.job)) for m in self.machines.values() for t in m.tasks.values()), now_us
         )
         self.write_queue.enqueue(self.entry(keys.RATIOS, lambda: self.ledger.to_value(now_us)), urgent=False)
--- a/src/tideusher/core/lead/engine.py
+++ b/src/tideusher/core/lead/engine.py
@@ -34,7 +34,7 @@
     """Effects that are due: machines to rent and to return, commands to send without waiting for a report."""
 
     rent: list[Rental] = field(default_factory=list)
-    request_return: list[Machine] = field(default_factory=list)
+    to_return: list[Machine] = field(default_factory=list)
     direct: dict[Machine, list[Command]] = field(default_factory=dict)
 
 
--- a/src/tideusher/core/lead/reports.py
+++ b/src/tideusher/core/lead/reports.py
@@ -37,7 +37,7 @@
         strays = self._digest(machine, report, now_us, asked=True)
         return [] if strays is None else strays + self._commands(machine)
 
-    def look(self, report: Report, now_us: int) -> None:
+    def apply(self, report: Report, now_us: int) -> None:
         """Applies a report that came as the answer to a direct call.
 
         It gets no answer, so no `run` may be counted as sent with it. Nor does it prove that the answer to the
--- a/src/tideusher/core/lead/scheduler.py
+++ b/src/tideusher/core/lead/scheduler.py
@@ -21,7 +21,7 @@
 #: Consolidation empties at most one in this many machines at a time.
 CONSOLIDATION_DIVISOR = 40
 #: Machines examined before a pass yields to other greenlets.
-PIECE_LOOKS = 1000
+MACHINES_PER_STEP = 1000
 #: A job that failed on this many machines is itself at fault, and avoids none.
 MAX_AVOIDED_MACHINES = 4
 #: The pause after a pass, per step beyond the first `FREE_STEPS` and per waiting job: in a flood of jobs, passes run
@@ -167,7 +167,7 @@
             if left:
                 unplaced.append((job, left))
             examined += len(candidates) if has_examined else 1
-            if examined >= PIECE_LOOKS:
+            if examined >= MACHINES_PER_STEP:
                 examined = 0
                 yield
         unplaced = _still_pending(unplaced)
@@ -221,7 +221,7 @@
                 within.add(job.spec.id)
         return within
 
-    def _quota_room(self, job: Job) -> int:
+    def _quota_left(self, job: Job) -> int:
         """Returns how many more tasks the team's limits and the job's own allow; tasks not proven gone count."""
         team = self._c.teams.get(job.spec.team)
         if team is None:
@@ -287,7 +287,7 @@
         if job.is_gang and job.live and not job.is_forming:
             job.waiting_reason = "the end of its last attempt"
             return 0
-        count = self._quota_room(job)
+        count = self._quota_left(job)
         if not count or (job.is_gang and count < job.pending):
             job.waiting_reason = _limit_of(job)
             return 0
--- a/src/tideusher/core/lead/soft_state.py
+++ b/src/tideusher/core/lead/soft_state.py
@@ -83,7 +83,7 @@
     for refusal in received.soft.refused:
         left_us = refusal.left_ms * 1000 - since_us
         if left_us > 0:
-            cluster.fleet.refused_before((refusal.type, refusal.zone, refusal.spot), now_us + left_us, refusal.times)
+            cluster.fleet.restore_refusal((refusal.type, refusal.zone, refusal.spot), now_us + left_us, refusal.times)
             used += 1
     for held in received.soft.reserved:
         machine, left_us = cluster.machines.get(held.machine), held.left_ms * 1000 - since_us
--- a/src/tideusher/core/model/cluster_state.py
+++ b/src/tideusher/core/model/cluster_state.py
@@ -198,7 +198,7 @@
         if stamp <= job.stamp:
             return
         self.change_job(job, value, stamp)
-        if job.status != OPEN and self.placements.is_over(job_id):
+        if job.status != OPEN and self.placements.job_ended(job_id):
             self._apply_known_tasks(job, 0, {}, 0, now_us)
         if job.status == OPEN and holder(value) != job.hold:
             job.hold = holder(value)
--- a/src/tideusher/core/model/ledger.py
+++ b/src/tideusher/core/model/ledger.py
@@ -101,7 +101,7 @@
                 advance_us = to_us(self._policy.ledger__gather_s)
             self.charge(task.job.spec.team, share(task.job, task.machine) * advance_us / SECOND_US, now_us)
 
-    def gather(self, tasks: Iterable[tuple[Task, int]], now_us: int) -> None:
+    def charge_usage(self, tasks: Iterable[tuple[Task, int]], now_us: int) -> None:
         """Charges running tasks, as (task, minimum runtime) pairs, for the time since the last call."""
         since_us, self._charged_until_us = self._charged_until_us, now_us
         for task, min_run_us in tasks:
--- a/src/tideusher/core/model/placements.py
+++ b/src/tideusher/core/model/placements.py
@@ -83,7 +83,7 @@
         self._newest[job] = Placement(key, value, stamp)
         return True
 
-    def is_over(self, job: str) -> bool:
+    def job_ended(self, job: str) -> bool:
         """Handles the end of a job: drops a record in transit; returns True if there was one."""
         known = self._newest.get(job)
         if known is None or known.key:
--- a/src/tideusher/embed/instance.py
+++ b/src/tideusher/embed/instance.py
@@ -478,7 +478,7 @@
             engine.cluster.pending_machines[task.machine] = engine.cluster.machines[task.machine]
         if now_us - self._last_gather_us >= self._gather_interval_us:
             self._last_gather_us = now_us
-            engine.cluster.gather(now_us)
+            engine.cluster.charge_usage(now_us)
         commands_by_machine = self._process_reports(now_us)
         engine.cluster.own_machines.refresh_contact(now_us)
         more = engine.tick(now_us)
--- a/src/tideusher/metrics.py
+++ b/src/tideusher/metrics.py
@@ -34,7 +34,7 @@
         """Adds to a counter."""
         self.counts[name, label] += amount
 
-    def job(self, event: str, job_class: str, team: str) -> None:
+    def count_job(self, event: str, job_class: str, team: str) -> None:
         """Counts a job, by class and by team, that was `asked` for, `accepted`, fully `started` or `done`."""
         for by, label in (("class", job_class), ("team", team)):
             name = f"jobs_{event}_by_{by}"
--- a/src/tideusher/scale/cloud.py
+++ b/src/tideusher/scale/cloud.py
@@ -54,7 +54,7 @@
     def admit(self) -> bool:
         """True if one more request is within the rate limit; counts the request as refused if not."""
         if self._request_limit.wait_s(1):
-            self._request_limit.give_back(1)
+            self._request_limit.refund(1)
             self.counts["refused"] += 1
             return False
         return True
--- a/src/tideusher/scale/state_service.py
+++ b/src/tideusher/scale/state_service.py
@@ -231,7 +231,7 @@
 def _take_tokens(bucket: TokenBucket, amount: float) -> bool:
     """Takes `amount` from the bucket and returns True; if it is not available at once, takes nothing."""
     if bucket.wait_s(amount):
-        bucket.give_back(amount)
+        bucket.refund(amount)
         return False
     return True
 
--- a/tests/region.py
+++ b/tests/region.py
@@ -134,7 +134,7 @@
                 machine, state = cluster.machines.get(name), self.states.get(name, DEAD)
                 if machine is not None and state in (UP, MUTE):
                     cluster.mass_failures.answered(machine, now)
-                    Reports(cluster).look(self.workers[name].report(), now)
+                    Reports(cluster).apply(self.workers[name].report(), now)
                 elif machine is not None and cluster.health.is_suspect(machine, now):
                     cluster.mass_failures.unanswered(machine, state == HANGS, due - 1_500_000, now)
         review = cluster.review_silent_machines(now, set(self.calls))
--- a/tests/test_compound_faults.py
+++ b/tests/test_compound_faults.py
@@ -170,7 +170,7 @@
 
 def test_limit_that_ignores_cancelled_tasks_is_detected(sim, monkeypatch):
     """Injected fault: cancelled tasks count as stopped at once."""
-    quota_room = Scheduler._quota_room
+    quota_room = Scheduler._quota_left
 
     def quota_without_cancelled(scheduler, waiting):
         jobs, team = scheduler._c.jobs.values(), waiting.spec.team
@@ -182,7 +182,7 @@
         finally:
             usage[1] = before
 
-    monkeypatch.setattr(Scheduler, "_quota_room", quota_without_cancelled)
+    monkeypatch.setattr(Scheduler, "_quota_left", quota_without_cancelled)
     with pytest.raises(AssertionError, match="quota"):
         test_teams_at_their_limit_get_nothing_until_cancelled_tasks_are_proven_stopped(sim, "deaf", "never")
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -41,7 +41,7 @@
     fleet = [machine(f"host-{i}") for i in range(4)]
     ledger.set_fleet(fleet)
     task = running(job("service", cpus=8.0, gpus=1.0), fleet[0])  # half of the CPUs, a quarter of the GPUs
-    ledger.gather([(task, 10**9)], 10 * SECOND_US)
+    ledger.charge_usage([(task, 10**9)], 10 * SECOND_US)
     assert ledger.charged("red") == pytest.approx(5.0)
     # 8 of 16 GPUs on 4 machines: 2 machines for 100 s are owed.
     assert ledger.ratio("red") == pytest.approx(5.0 / 200.0)
@@ -54,7 +54,7 @@
     next_leader = Ledger([Team("red", gpus=8.0)], Policy(ledger__window_s=60.0), 5 * SECOND_US)
     next_leader.restore(ledger.to_value(5 * SECOND_US), 5 * SECOND_US, 5 * SECOND_US)
     assert next_leader.charged("red") == 30.0
-    next_leader.gather([], 70 * SECOND_US)
+    next_leader.charge_usage([], 70 * SECOND_US)
     assert next_leader.charged("red") == pytest.approx(0.0)
 
 
@@ -68,7 +68,9 @@
         ledger.charge_start(task, min_run(task.job), SECOND_US)
     assert ledger.ratio("red") > before
     charged = ledger.charged("red")
-    ledger.gather([(task, min_run(task.job))], 30 * SECOND_US)  # within the minimum runtime, which is already charged
+    ledger.charge_usage(
+        [(task, min_run(task.job))], 30 * SECOND_US
+    )  # within the minimum runtime, which is already charged
     assert ledger.charged("red") == charged
 
 
@@ -77,7 +79,7 @@
     task = running(job("batch"), machine())
     assert min_run(task.job) == 0
     ledger.charge_start(task, 0, SECOND_US)
-    ledger.gather([(task, 0)], 100 * SECOND_US)
+    ledger.charge_usage([(task, 0)], 100 * SECOND_US)
     assert ledger.charged("red") == 0.0
 
 
--- a/tests/test_embed.py
+++ b/tests/test_embed.py
@@ -454,7 +454,7 @@
     def round(self, specs, ended, cancelled):
         if self.harness.clock.us - self.gathered_us >= 5 * SECOND_US:
             self.gathered_us = self.harness.clock.us
-            self.cluster.gather(self.gathered_us)
+            self.cluster.charge_usage(self.gathered_us)
         for key, state in list(self.tasks.items()):
             if key[1] in ended:
                 self.tasks[key] = (state[0], "exited", "done")
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -282,7 +282,7 @@
     spec = job()
     placed = harness.place(spec)
     report = Report("host-1", "127.0.0.1:9", "m4", "a", False, 1, 2, harness.cluster.token)
-    Reports(harness.cluster).look(report, harness.clock.now_us())
+    Reports(harness.cluster).apply(report, harness.clock.now_us())
     assert placed.live[0].sent is None
     assert not [d for d in harness.cluster.direct if d.command.op == "run"]
 
@@ -374,12 +374,15 @@
     for name in ("host-1", "host-2", "host-3", "host-4"):
         harness.report(name, 1)
     harness.clock.pass_s(15.0)
-    assert not harness.cluster.review_silent_machines(harness.clock.now_us(), set()).fallen
+    assert not harness.cluster.review_silent_machines(harness.clock.now_us(), set()).failed_machines
     harness.report("host-1", 2)
     assert silent(harness) == []
     harness.clock.pass_s(1.0)
     harness.report("host-1", 3)
-    assert silent(harness) == [] and not harness.cluster.review_silent_machines(harness.clock.now_us(), set()).fallen
+    assert (
+        silent(harness) == []
+        and not harness.cluster.review_silent_machines(harness.clock.now_us(), set()).failed_machines
+    )
 
 
 def test_an_inherited_fleet_is_not_overdue_at_the_change_of_leader(harness):
--- a/tests/test_leader_faults.py
+++ b/tests/test_leader_faults.py
@@ -27,7 +27,7 @@
     items = [TaskReport(name, attempt, state, cause) for name, attempt, state, cause in tasks]
     token = harness.cluster.token if token is None else token
     report = Report(machine, "127.0.0.1:9", "m4", "a", False, session, serial, token, None, items)
-    Reports(harness.cluster).look(report, harness.clock.now_us())
+    Reports(harness.cluster).apply(report, harness.clock.now_us())
 
 
 # A command in flight, and a direct call that overtakes it
@@ -117,7 +117,7 @@
 def test_task_ignored_by_an_unresponsive_machine_starts_elsewhere_and_the_machine_is_avoided(harness):
     spec = job()
     placed = harness.place(spec)
-    for serial in range(2, 2 + reachability.DEAF_AFTER):
+    for serial in range(2, 2 + reachability.UNRESPONSIVE_AFTER):
         assert ops(harness.report("host-1", serial)) == [("run", f"{spec.id}/0", 1)]  # sent again and again
         assert 0 in placed.live
         harness.clock.pass_s(1.0)
--- a/tests/test_falls.py
+++ b/tests/test_mass_failures.py
@@ -129,10 +129,10 @@
     region.calls.clear()
     for name in names[:10]:
         calls.unanswered(region.cluster.machines[name], False, called_us - 1, region.clock.now_us())
-    assert not region.cluster.review_silent_machines(region.clock.now_us(), set(names)).fallen
+    assert not region.cluster.review_silent_machines(region.clock.now_us(), set(names)).failed_machines
     for name in names[:10]:
         calls.unanswered(region.cluster.machines[name], False, region.clock.now_us(), region.clock.now_us())
-    assert region.cluster.review_silent_machines(region.clock.now_us(), set(names)).fallen
+    assert region.cluster.review_silent_machines(region.clock.now_us(), set(names)).failed_machines
 
 
 @pytest.mark.parametrize("seconds", [5, 12, 30])
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -289,7 +289,7 @@
     assert caplog.text.count("req-850001 of red runs whole: 2 tasks") == 1 and not pair.pending and late.waits
     metrics = harness.cluster.metrics
     for number in range(MAX_LABELS + 5):  # users choose the names of classes
-        metrics.job("asked", f"class-{number}", "red")
+        metrics.count_job("asked", f"class-{number}", "red")
     harness.clock.pass_s(70)
     metrics.labelled_gauges = explain.oldest_waits(harness.cluster)
     text = metrics.text().decode()
--- a/tests/test_run_time_invariants.py
+++ b/tests/test_run_time_invariants.py
@@ -213,8 +213,8 @@
     for name in names:
         harness.report(name, 1)
     harness.commit()
-    fallen = [(harness.cluster.machines[name], "silent") for name in names[:3]]
-    harness.cluster.recovery.return_failed("a", fallen, harness.clock.now_us())
+    failed_machines = [(harness.cluster.machines[name], "silent") for name in names[:3]]
+    harness.cluster.recovery.return_failed("a", failed_machines, harness.clock.now_us())
     harness.commit()
     harness.cluster = second_engine(harness)
     harness.cluster.recovery.return_failed(
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -372,9 +372,9 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_a_pass_in_steps_decides_as_an_undivided_one(seed, monkeypatch):
     at_once, in_pieces = busy_leader(seed), busy_leader(seed)
-    monkeypatch.setattr(scheduler, "PIECE_LOOKS", 10**9)
+    monkeypatch.setattr(scheduler, "MACHINES_PER_STEP", 10**9)
     at_once.scheduler.schedule(at_once.clock.now_us())
-    monkeypatch.setattr(scheduler, "PIECE_LOOKS", 40)
+    monkeypatch.setattr(scheduler, "MACHINES_PER_STEP", 40)
     pass_steps = sum(1 for _ in in_pieces.scheduler.pass_steps(in_pieces.clock.now_us()))
     assert pass_steps > 8 and decisions(at_once) == decisions(in_pieces)
     assert decisions(at_once)[0]
@@ -435,7 +435,7 @@
         return place(room, *arguments)
 
     monkeypatch.setattr(FreeCapacity, "place", counted)
-    monkeypatch.setattr(scheduler, "PIECE_LOOKS", 100)
+    monkeypatch.setattr(scheduler, "MACHINES_PER_STEP", 100)
     most = before = 0
     for _ in harness.scheduler.pass_steps(harness.clock.now_us()):
         most, before = max(most, scans - before), scans
@@ -444,7 +444,7 @@
 
 def test_machines_and_jobs_that_change_during_a_pause_are_not_used(monkeypatch):
     """Between two steps a machine may be returned and a job cancelled: neither is used again."""
-    monkeypatch.setattr(scheduler, "PIECE_LOOKS", 1)
+    monkeypatch.setattr(scheduler, "MACHINES_PER_STEP", 1)
     harness = LeaderHarness()
     clock, cluster = harness.clock, harness.cluster
     harness.report("host-1", 1)
--- a/tests/test_shared_records.py
+++ b/tests/test_shared_records.py
@@ -238,7 +238,7 @@
     harness.config.settings.state.value_kb = value_kb
     harness.elect()
     for one in list(harness.cluster.jobs.values()):
-        harness.cluster.touch_chunk(one, 0)
+        harness.cluster.enqueue_chunk(one, 0)
     written = []
     carry_out = harness.state.txn
     harness.state.txn = lambda guards, writes: written.extend(writes) or carry_out(guards, writes)
@@ -429,7 +429,7 @@
     harness.shared = True
     harness.elect()
     for one in list(harness.cluster.jobs.values()):
-        harness.cluster.touch_chunk(one, 0)
+        harness.cluster.enqueue_chunk(one, 0)
     for _ in range(2):
         batch = next_batch(harness)
         assert any(isinstance(write, Delete) for write in batch.writes) or keys.FENCE in {w.key for w in batch.writes}
@@ -561,8 +561,8 @@
     placements.page_changed("t/p/0", {"req-1": {"n": 1}}, 5)
     assert placements.page_changed("t/p/0", None, 0) == [] and placements.first("req-1") == {"n": 1}
     open_jobs.clear()
-    assert placements.is_over("req-1") and placements.first("req-1") is None
-    assert not placements.is_over("req-1")
+    assert placements.job_ended("req-1") and placements.first("req-1") is None
+    assert not placements.job_ended("req-1")
 
 
 def test_a_standby_reads_pages_in_pieces_of_so_many_records_not_of_so_many_keys():
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -307,8 +307,8 @@
                 amount = rng.choice([0.0, 5.0, 40.0]) * (name == "red" or second < 60)
                 one.charge(name, amount, now_us)
                 many.charge(name, amount, now_us + off_us)
-            one.gather([], now_us)
-            many.gather([], now_us + off_us)
+            one.charge_usage([], now_us)
+            many.charge_usage([], now_us + off_us)
             written = many.to_value(now_us + off_us)
             if second % 15 == 0:
                 off_us, skew_us = rng.randrange(10**9), rng.randrange(-25_000, 25_000)
@@ -326,7 +326,7 @@
     for second in range(0, 4000, 5):
         for team in teams:
             ledger.charge(team.name, 2500.5, second * SECOND_US)
-        ledger.gather([], second * SECOND_US)
+        ledger.charge_usage([], second * SECOND_US)
     value = ledger.to_value(4000 * SECOND_US)
     assert len(msgspec.json.encode(value)) <= 4096 and len(value["karta-team-00"][3]) > 30
 
@@ -337,7 +337,7 @@
     node = Node(harness.state, harness.clock)
     for serial in (1, 2):
         harness.report("host-1", serial)
-    harness.cluster.gather(harness.clock.now_us())
+    harness.cluster.charge_usage(harness.clock.now_us())
     harness.commit()
     node.read()
     node.follow()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -62,7 +62,7 @@
     bucket = TokenBucket(2.0, clock, burst=5.0)
     assert [bucket.wait_s(1) for _ in range(5)] == [0.0] * 5
     assert bucket.wait_s(1) == pytest.approx(0.5)
-    bucket.give_back(1)
+    bucket.refund(1)
     clock.pass_s(0.5)
     assert bucket.wait_s(1) == 0.0
     clock.pass_s(100.0)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -350,7 +350,7 @@
         super()._step()
         now = self.clock.now_us()
         if self.leads and now - self.gathered_us >= 5 * SECOND_US:  # the leader's timer, restarted with it
-            self.cluster.gather(now)
+            self.cluster.charge_usage(now)
             self.gathered_us = now
         for number, name in enumerate(sorted(self.workers)):
             if self.alive and self.states[name] == UP and (self.steps + number) % 8 == 0:
@@ -495,7 +495,7 @@
         calm.run(3.0)
     for made in (controllers, calm):
         made.run(10)
-        made.cluster.gather(made.clock.now_us())
+        made.cluster.charge_usage(made.clock.now_us())
     for team in ("red", "blue"):
         once, often = calm.cluster.ledger.charged(team), controllers.cluster.ledger.charged(team)
         assert often == pytest.approx(once, rel=0.01), team
--- a/tests/test_two_rentals.py
+++ b/tests/test_two_rentals.py
@@ -134,8 +134,8 @@
     write(harness, keys.rental_key(OWNER), rental_value(["host-1", "host-2", "host-3"]))
     harness.elect()
     harness.report("host-1", 1)
-    fallen = [(harness.cluster.machines[name], "silent") for name in ("host-1", "host-3")]
-    harness.cluster.recovery.return_failed("a", fallen, harness.clock.now_us())
+    failed_machines = [(harness.cluster.machines[name], "silent") for name in ("host-1", "host-3")]
+    harness.cluster.recovery.return_failed("a", failed_machines, harness.clock.now_us())
     names = requested_returns(harness)
     assert sorted(names) == ["host-1", "host-3"]
     harness.cluster.returned(["host-1"], harness.clock.now_us())
