--- a/src/tideusher/actors/command_sender.py
+++ b/src/tideusher/actors/command_sender.py
@@ -8,7 +8,7 @@
 
 from tideusher.actors.call_queue import CallQueue
 from tideusher.actors.http import CallFailed, HttpClient
-from tideusher.core.picture.records import Machine
+from tideusher.core.model.records import Machine
 from tideusher.wire import workers
 
 #: The part of the process's sockets that calls to workers may take at a time.
--- a/src/tideusher/actors/election.py
+++ b/src/tideusher/actors/election.py
@@ -28,8 +28,8 @@
     line,
     waits_us,
 )
-from tideusher.core.picture import keys
-from tideusher.core.picture.pages import is_fenced
+from tideusher.core.model import keys
+from tideusher.core.model.pages import is_fenced
 from tideusher.wire import state
 
 #: What an earlier life of this controller has sent may land so long after its lease would have ended.
--- a/src/tideusher/actors/gateway.py
+++ b/src/tideusher/actors/gateway.py
@@ -22,9 +22,9 @@
 from tideusher.core.decide.bounds import may_answer
 from tideusher.core.decide.cancellations import Cancellations, halts, rectified
 from tideusher.core.decide.routing import Directions, Door, Ear
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import JOB_CANCELLED
-from tideusher.core.picture.sightings import Own
+from tideusher.core.model import keys
+from tideusher.core.model.contacts import Own
+from tideusher.core.model.records import JOB_CANCELLED
 from tideusher.wire import workers
 from tideusher.wire.peers import ForwardReport
 
--- a/src/tideusher/actors/halts.py
+++ b/src/tideusher/actors/halts.py
@@ -13,7 +13,7 @@
 from tideusher.actors.command_sender import DIRECT_PART
 from tideusher.actors.http import CallFailed, HttpClient
 from tideusher.clock import SECOND_US, Clock
-from tideusher.core.picture.records import Job
+from tideusher.core.model.records import Job
 from tideusher.wire import workers
 
 #: The workers of a job are called again so soon at the earliest: users repeat themselves faster than that.
--- a/src/tideusher/actors/leader.py
+++ b/src/tideusher/actors/leader.py
@@ -16,24 +16,24 @@
 from tideusher.actors.store import Busy, Conflict, NoLease, Store, Unavailable
 from tideusher.clock import Clock, to_s, to_us
 from tideusher.config import Config, Policy
-from tideusher.core.decide import hearing
+from tideusher.core.decide import reachability
 from tideusher.core.decide.bounds import may_answer
-from tideusher.core.decide.failing import PassFailures, Remedy
+from tideusher.core.decide.pass_failures import PassFailures, Remedy
 from tideusher.core.decide.succession import Lag, Standing, all_read
 from tideusher.core.lead import explain
 from tideusher.core.lead.cluster import Cluster
 from tideusher.core.lead.engine import Engine
-from tideusher.core.lead.soft import Told, newer, take_sightings
-from tideusher.core.lead.soft import refusal as soft_refusal
-from tideusher.core.lead.soft import take as take_soft
-from tideusher.core.lead.soft import tell as tell_soft
+from tideusher.core.lead.soft_state import Told, newer, take_sightings
+from tideusher.core.lead.soft_state import refusal as soft_refusal
+from tideusher.core.lead.soft_state import take as take_soft
+from tideusher.core.lead.soft_state import tell as tell_soft
 from tideusher.core.lead.standby import Standby
-from tideusher.core.picture import keys
-from tideusher.core.picture.picture import Picture
-from tideusher.core.picture.records import RETURNING, Machine
-from tideusher.core.picture.rentals import Rental
-from tideusher.core.picture.sightings import Own, Sightings
-from tideusher.core.picture.write_queue import Batch
+from tideusher.core.model import keys
+from tideusher.core.model.cluster_state import Picture
+from tideusher.core.model.contacts import Own, Sightings
+from tideusher.core.model.records import RETURNING, Machine
+from tideusher.core.model.rentals import Rental
+from tideusher.core.model.write_queue import Batch
 from tideusher.invariants import Invariants, Rule
 from tideusher.metrics import Metrics
 from tideusher.wire import cloud as cloud_wire
@@ -312,10 +312,12 @@
             seen = self._sightings.last(machine.name, now_us)
             return seen[0] if seen is not None else 0
 
-        for machine, why in hearing.unheard(machines, lease_us, report_us, now_us, cluster.health.boot_us, heard_us):
+        for machine, why in reachability.unheard(
+            machines, lease_us, report_us, now_us, cluster.health.boot_us, heard_us
+        ):
             cluster.give_back(machine, why)
         for machine in machines:
-            if machine.tasks and hearing.mute(machine, report_us, heard_us, now_us):
+            if machine.tasks and reachability.mute(machine, report_us, heard_us, now_us):
                 engine.reports.move_on(machine, "its machine does not report", now_us)
         cluster.falls.linked = self._deaf_zones()
         look = cluster.look_at_silence(now_us, self._probing)
--- a/src/tideusher/actors/questions.py
+++ b/src/tideusher/actors/questions.py
@@ -13,8 +13,8 @@
 from tideusher.config import Config
 from tideusher.core.decide.recovery import told_fall
 from tideusher.core.lead.explain import told_end, told_stops
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import JOB_CANCELLED, JOB_DONE
+from tideusher.core.model import keys
+from tideusher.core.model.records import JOB_CANCELLED, JOB_DONE
 from tideusher.wire.peers import Ask
 
 ASK_S = 1.5
--- a/src/tideusher/actors/scripts.py
+++ b/src/tideusher/actors/scripts.py
@@ -14,10 +14,10 @@
 from tideusher.actors.store import BURST_WRITES, Store, Unavailable
 from tideusher.clock import Clock, to_s
 from tideusher.config import Config
-from tideusher.core.picture import keys
+from tideusher.core.model import keys
 from tideusher.pbs import Refusal, read_script, translate
 from tideusher.pbs.ids import pbs_id
-from tideusher.pbs.keep import Damaged, TooLong, expand, pack
+from tideusher.pbs.storage import Damaged, TooLong, expand, pack
 from tideusher.wire import jobs as wire
 from tideusher.wire import state
 from tideusher.wire.scripts import KeptScript, ScriptRequest, ScriptTaken
--- a/src/tideusher/actors/store.py
+++ b/src/tideusher/actors/store.py
@@ -18,10 +18,10 @@
 from tideusher.actors.http import CallFailed, HttpClient
 from tideusher.clock import SECOND_US, Clock, to_s
 from tideusher.config import Config
-from tideusher.core.picture import keys
-from tideusher.core.picture.pages import NULL
-from tideusher.core.picture.placements import Placements
-from tideusher.core.picture.values import is_final
+from tideusher.core.model import keys
+from tideusher.core.model.job_record import is_final
+from tideusher.core.model.pages import NULL
+from tideusher.core.model.placements import Placements
 from tideusher.metrics import Metrics
 from tideusher.wire import state
 
--- a/src/tideusher/actors/users.py
+++ b/src/tideusher/actors/users.py
@@ -11,9 +11,9 @@
 from tideusher.clock import Clock, to_us
 from tideusher.config import Config
 from tideusher.core.decide.conditions import hopeless
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import CHUNK_TASKS, JOB_CANCELLED, JOB_DONE, OPEN
-from tideusher.core.picture.values import held_value, holder, open_value, shrunk_value
+from tideusher.core.model import keys
+from tideusher.core.model.job_record import held_value, holder, open_value, shrunk_value
+from tideusher.core.model.records import CHUNK_TASKS, JOB_CANCELLED, JOB_DONE, OPEN
 from tideusher.metrics import Metrics
 from tideusher.wire import jobs as wire
 from tideusher.wire.cloud import MachineType
--- a/src/tideusher/cli_pbs.py
+++ b/src/tideusher/cli_pbs.py
@@ -99,7 +99,7 @@
     from datetime import datetime
 
     from tideusher.pbs.ids import job_of, pbs_id
-    from tideusher.pbs.keep import squeeze
+    from tideusher.pbs.storage import squeeze
     from tideusher.wire.scripts import ScriptRequest
 
     script, options = _read(words)
--- a/src/tideusher/client.py
+++ b/src/tideusher/client.py
@@ -74,7 +74,7 @@
 
     def script(self, job: str) -> "tuple[Run, bytes]":
         """How to run the job's script, and its text as it was submitted."""
-        from tideusher.pbs.keep import Damaged, unpack
+        from tideusher.pbs.storage import Damaged, unpack
 
         kept: KeptScript = msgspec.json.decode(self._call("GET", f"/work/{job}/script"), type=KeptScript)
         try:
--- a/src/tideusher/core/decide/boots.py
+++ b/src/tideusher/core/decide/boots.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 
 from tideusher.clock import SECOND_US, to_us
-from tideusher.core.picture.records import BOOTING, Machine
+from tideusher.core.model.records import BOOTING, Machine
 from tideusher.wire.cloud import FAILED, UP, MachineType
 
 #: So many boots of a kind are remembered, and fewer than LEAST say nothing.
--- a/src/tideusher/core/decide/conditions.py
+++ b/src/tideusher/core/decide/conditions.py
@@ -14,8 +14,8 @@
 from typing import Any, Protocol
 
 from tideusher.clock import to_us
-from tideusher.core.picture.picture import RecordOf
-from tideusher.core.picture.records import JOB_DONE, OPEN, Job
+from tideusher.core.model.cluster_state import RecordOf
+from tideusher.core.model.records import JOB_DONE, OPEN, Job
 from tideusher.wire.jobs import AFTER, AFTER_NOT_OK, AFTER_OK, CANCELLED, DONE, After
 
 #: After so many judgements a pass lets others have their turn.
--- a/src/tideusher/core/decide/fleet.py
+++ b/src/tideusher/core/decide/fleet.py
@@ -8,11 +8,11 @@
 
 from tideusher.clock import SECOND_US, to_s, to_us
 from tideusher.config import Objective, Policy
-from tideusher.core.decide.gather import BEST, NONE, OTHER, Request
+from tideusher.core.decide.gang_reservations import BEST, NONE, OTHER, Request
 from tideusher.core.decide.placement import Demand, slots_in
-from tideusher.core.decide.repeats import Refusals, rights
-from tideusher.core.picture.arrivals import Arrivals
-from tideusher.core.picture.records import BOOTING, UP, Job, Machine, allowed_on
+from tideusher.core.decide.refusal_cache import Refusals, rights
+from tideusher.core.model.arrivals import Arrivals
+from tideusher.core.model.records import BOOTING, UP, Job, Machine, allowed_on
 from tideusher.wire.cloud import MachineType
 from tideusher.wire.jobs import BATCH, SERVICE, JobSpec
 
--- a/src/tideusher/core/decide/gather.py
+++ b/src/tideusher/core/decide/gang_reservations.py
@@ -17,7 +17,7 @@
 
 from tideusher.clock import to_us
 from tideusher.core.decide.placement import slots, slots_in
-from tideusher.core.picture.records import BOOTING, UP, Job, Machine
+from tideusher.core.model.records import BOOTING, UP, Job, Machine
 
 #: What a zone offers a job: the kind of machine that it is best rented on, another, or none now.
 BEST, OTHER, NONE = 0, 1, 2
--- a/src/tideusher/core/decide/health.py
+++ b/src/tideusher/core/decide/health.py
@@ -4,8 +4,8 @@
 from tideusher.config import Config, Policy
 from tideusher.core.decide.boots import Boots
 from tideusher.core.decide.fleet import Fleet
-from tideusher.core.picture.records import BOOTING, UP, Machine
-from tideusher.core.picture.sightings import Zones
+from tideusher.core.model.contacts import Zones
+from tideusher.core.model.records import BOOTING, UP, Machine
 from tideusher.wire import cloud
 
 
--- a/src/tideusher/core/decide/limits.py
+++ b/src/tideusher/core/decide/limits.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from tideusher.clock import SECOND_US, to_us
-from tideusher.core.picture.records import Job, Task
+from tideusher.core.model.records import Job, Task
 
 
 class Tasks(Protocol):
--- a/src/tideusher/core/decide/falls.py
+++ b/src/tideusher/core/decide/mass_failures.py
@@ -19,10 +19,10 @@
 
 from tideusher.clock import SECOND_US, to_s, to_us
 from tideusher.config import Config
-from tideusher.core.decide import hearing
+from tideusher.core.decide import reachability
 from tideusher.core.decide.health import Health
 from tideusher.core.decide.placement import slots_in
-from tideusher.core.picture.records import CRITICAL, RETURNING, UP, Job, Machine
+from tideusher.core.model.records import CRITICAL, RETURNING, UP, Job, Machine
 from tideusher.wire.cloud import MachineType
 from tideusher.wire.jobs import JobSpec
 
@@ -184,7 +184,7 @@
 
         Tasks that a fall took were once placed again on machines that had died with theirs.
         """
-        if machine.name in self._silent or hearing.deaf(machine, now_us):
+        if machine.name in self._silent or reachability.deaf(machine, now_us):
             return True
         return machine.zone in self._shaky and now_us - machine.reported_us > self._report_us * 3 // 2
 
--- a/src/tideusher/core/decide/order.py
+++ b/src/tideusher/core/decide/order.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable
 
 from tideusher.clock import SECOND_US, to_us
-from tideusher.core.picture.records import Job
+from tideusher.core.model.records import Job
 
 #: Beyond its due time and its own run, by so much a job must be late to count as late for good.
 LATE_US = 60 * SECOND_US
--- a/src/tideusher/core/decide/placement.py
+++ b/src/tideusher/core/decide/placement.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-from tideusher.core.picture.records import Job, Machine
+from tideusher.core.model.records import Job, Machine
 from tideusher.wire.jobs import JobSpec
 
 
--- a/src/tideusher/core/decide/preempt.py
+++ b/src/tideusher/core/decide/preempt.py
@@ -12,7 +12,7 @@
 
 from tideusher.config import Policy
 from tideusher.core.decide.placement import slots_in
-from tideusher.core.picture.records import COMMITTING, Job, Machine, Task
+from tideusher.core.model.records import COMMITTING, Job, Machine, Task
 
 
 @dataclass(frozen=True)
--- a/src/tideusher/core/decide/hearing.py
+++ b/src/tideusher/core/decide/reachability.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable, Iterator
 
 from tideusher.clock import SECOND_US, to_s
-from tideusher.core.picture.records import UP, Machine
+from tideusher.core.model.records import UP, Machine
 
 #: So many answers in a row without effect, and the worker is taken for deaf; after a rest it is tried again.
 DEAF_AFTER = 3
--- a/src/tideusher/core/decide/recovery.py
+++ b/src/tideusher/core/decide/recovery.py
@@ -13,9 +13,9 @@
 
 from tideusher.clock import SECOND_US, to_s
 from tideusher.config import Config
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import CRITICAL, OPEN, RETURNING, Job, Machine
-from tideusher.core.picture.write_queue import Entry, WriteQueue
+from tideusher.core.model import keys
+from tideusher.core.model.records import CRITICAL, OPEN, RETURNING, Job, Machine
+from tideusher.core.model.write_queue import Entry, WriteQueue
 from tideusher.invariants import Invariants, Rule
 from tideusher.metrics import Metrics
 
--- a/src/tideusher/core/decide/starts.py
+++ b/src/tideusher/core/decide/starts.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from tideusher.core.picture.records import UP, Job, Machine, Task
+from tideusher.core.model.records import UP, Job, Machine, Task
 
 
 class Refusal(StrEnum):
--- a/src/tideusher/core/decide/truth.py
+++ b/src/tideusher/core/decide/takeover_readiness.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from tideusher.core.picture.records import RETURNING, Machine
+from tideusher.core.model.records import RETURNING, Machine
 
 #: This part of the machines of a zone that were inherited must have been heard.
 PART = 0.9
--- a/src/tideusher/core/decide/failures.py
+++ b/src/tideusher/core/decide/task_failures.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 
 from tideusher.clock import SECOND_US
-from tideusher.core.picture.records import OPEN, Job, Machine
+from tideusher.core.model.records import OPEN, Job, Machine
 from tideusher.wire.workers import ACTIVE
 
 #: A job that failed on so many different machines, and never succeeded, is at fault itself.
--- a/src/tideusher/core/lead/cluster.py
+++ b/src/tideusher/core/lead/cluster.py
@@ -15,23 +15,24 @@
 
 from tideusher.clock import to_s, to_us
 from tideusher.config import Config, Policy
-from tideusher.core.decide import failures, hearing
+from tideusher.core.decide import reachability, task_failures
 from tideusher.core.decide.conditions import Conditions
-from tideusher.core.decide.failing import PassFailures
-from tideusher.core.decide.falls import MANY, Falls, Look
 from tideusher.core.decide.fleet import Fleet
 from tideusher.core.decide.health import Health
 from tideusher.core.decide.limits import Limits
+from tideusher.core.decide.mass_failures import MANY, Falls, Look
+from tideusher.core.decide.pass_failures import PassFailures
 from tideusher.core.decide.preempt import Standing
 from tideusher.core.decide.recovery import Recovery
 from tideusher.core.decide.starts import Kind, kind_of, refusal, zones_of_others
-from tideusher.core.decide.truth import Truth
+from tideusher.core.decide.takeover_readiness import Truth
 from tideusher.core.lead.own_machines import OwnMachines
 from tideusher.core.lead.renting import Renting
-from tideusher.core.picture import keys
-from tideusher.core.picture.pages import NULL, Pages, ReadValue
-from tideusher.core.picture.picture import Picture, RecordOf
-from tideusher.core.picture.records import (
+from tideusher.core.model import keys
+from tideusher.core.model.cluster_state import Picture, RecordOf
+from tideusher.core.model.job_record import MAX_STOPS_KEPT, final_value, holder, over_limit_reason
+from tideusher.core.model.pages import NULL, Pages, ReadValue
+from tideusher.core.model.records import (
     ASSIGNED,
     CHUNK_TASKS,
     COMMITTING,
@@ -48,9 +49,8 @@
     Task,
     chunk_value,
 )
-from tideusher.core.picture.rentals import ADOPTED, Rental
-from tideusher.core.picture.values import MAX_STOPS_KEPT, final_value, holder, over_limit_reason
-from tideusher.core.picture.write_queue import Effect, Entry, WriteQueue
+from tideusher.core.model.rentals import ADOPTED, Rental
+from tideusher.core.model.write_queue import Effect, Entry, WriteQueue
 from tideusher.invariants import Invariants, Rule
 from tideusher.metrics import Metrics
 from tideusher.wire import workers
@@ -541,7 +541,7 @@
         if report.token < self.token:
             # It may be a copy of a report from before its return, of which an earlier leader knew: nothing is placed
             # there until it shows that it is there and hears us.
-            hearing.unproven(machine, now_us)
+            reachability.unproven(machine, now_us)
         if returned:
             self.give_back(machine, "its return was answered before")
         return machine
@@ -564,10 +564,10 @@
         """Is the machine at fault for what failed on it? One that may be gets no new work until that is known."""
         if machine.draining or not self.rents:
             return
-        verdict = failures.judge(machine, self.jobs, now_us)
-        if verdict == failures.FAULTY:
+        verdict = task_failures.judge(machine, self.jobs, now_us)
+        if verdict == task_failures.FAULTY:
             self.drain(machine, "tasks of several jobs failed on it")
-        elif verdict != failures.SUSPECT:
+        elif verdict != task_failures.SUSPECT:
             machine.suspect_us = 0
         elif not machine.suspect_us:
             machine.suspect_us = now_us
--- a/src/tideusher/core/lead/engine.py
+++ b/src/tideusher/core/lead/engine.py
@@ -15,11 +15,11 @@
 from tideusher.core.lead.cluster import Cluster
 from tideusher.core.lead.reports import Reports
 from tideusher.core.lead.scheduler import Scheduler
-from tideusher.core.picture.pages import ReadValue
-from tideusher.core.picture.picture import Picture, RecordOf
-from tideusher.core.picture.records import Machine
-from tideusher.core.picture.rentals import Rental
-from tideusher.core.picture.write_queue import Batch
+from tideusher.core.model.cluster_state import Picture, RecordOf
+from tideusher.core.model.pages import ReadValue
+from tideusher.core.model.records import Machine
+from tideusher.core.model.rentals import Rental
+from tideusher.core.model.write_queue import Batch
 from tideusher.metrics import Metrics
 from tideusher.wire.workers import Command
 
--- a/src/tideusher/core/lead/explain.py
+++ b/src/tideusher/core/lead/explain.py
@@ -6,7 +6,7 @@
 from tideusher.clock import to_s
 from tideusher.core.decide.recovery import told_fall
 from tideusher.core.lead.cluster import Cluster
-from tideusher.core.picture.records import BOOTING, JOB_CANCELLED, JOB_DONE, NO_ROOM, SEEN, Job
+from tideusher.core.model.records import BOOTING, JOB_CANCELLED, JOB_DONE, NO_ROOM, SEEN, Job
 from tideusher.wire.arrays import parse_indexes
 from tideusher.wire.jobs import MAX_TASKS
 from tideusher.wire.workers import FETCHING, SAVING, WAITING
--- a/src/tideusher/core/lead/own_machines.py
+++ b/src/tideusher/core/lead/own_machines.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from tideusher.core.picture.records import RETURNING, Machine, Task
-from tideusher.core.picture.rentals import Rental
+from tideusher.core.model.records import RETURNING, Machine, Task
+from tideusher.core.model.rentals import Rental
 
 
 class Machines(Protocol):
--- a/src/tideusher/core/lead/renting.py
+++ b/src/tideusher/core/lead/renting.py
@@ -11,13 +11,13 @@
 
 from tideusher.core.decide.fleet import Fleet, Wish
 from tideusher.core.decide.starts import Kind, kind_of
-from tideusher.core.picture import keys
-from tideusher.core.picture.entries import Effect, Entry
-from tideusher.core.picture.ledger import Ledger
-from tideusher.core.picture.pages import ReadValue
-from tideusher.core.picture.records import Machine
-from tideusher.core.picture.rentals import Rental, RentalIndex
-from tideusher.core.picture.write_queue import WriteQueue
+from tideusher.core.model import keys
+from tideusher.core.model.entries import Effect, Entry
+from tideusher.core.model.ledger import Ledger
+from tideusher.core.model.pages import ReadValue
+from tideusher.core.model.records import Machine
+from tideusher.core.model.rentals import Rental, RentalIndex
+from tideusher.core.model.write_queue import WriteQueue
 from tideusher.invariants import Invariants, Rule
 
 #: A rental asks for so many machines at the most.
--- a/src/tideusher/core/lead/reports.py
+++ b/src/tideusher/core/lead/reports.py
@@ -7,10 +7,10 @@
 import logging
 
 from tideusher.clock import SECOND_US, to_s, to_us
-from tideusher.core.decide import failures, hearing
+from tideusher.core.decide import reachability, task_failures
 from tideusher.core.decide.starts import MAY_CHANGE, Kind, refusal, zones_of_others
 from tideusher.core.lead.cluster import Cluster, told_machine
-from tideusher.core.picture.records import ASSIGNED, BOOTING, COMMITTING, OPEN, SEEN, UP, Job, Machine, Task
+from tideusher.core.model.records import ASSIGNED, BOOTING, COMMITTING, OPEN, SEEN, UP, Job, Machine, Task
 from tideusher.invariants import Rule
 from tideusher.wire import workers
 from tideusher.wire.workers import Command, Report, TaskReport
@@ -102,8 +102,8 @@
             elif task.sent is not None and task.phase != COMMITTING:
                 lost |= self._absent(task, report, new_session, now_us)
         if heeded:
-            hearing.heeded(machine)
-        elif lost and hearing.missed(machine, self._report_us, now_us):
+            reachability.heeded(machine)
+        elif lost and reachability.missed(machine, self._report_us, now_us):
             self.move_on(machine, "its machine does not hear what it is told", now_us)
         return [
             command
@@ -187,7 +187,7 @@
         job.failed_on(machine.name)
         job.failures += 1
         machine.error_jobs[job.spec.id] = machine.error_jobs.get(job.spec.id, 0) + 1
-        pause_us = failures.pause_us(job)
+        pause_us = task_failures.pause_us(job)
         if pause_us:
             job.not_before_us = max(job.not_before_us, now_us + pause_us)
         self._c.look_at_failures(machine, now_us)
--- a/src/tideusher/core/lead/scheduler.py
+++ b/src/tideusher/core/lead/scheduler.py
@@ -4,17 +4,17 @@
 from dataclasses import dataclass
 
 from tideusher.clock import SECOND_US, to_s, to_us
-from tideusher.core.decide.failing import PassFailed
-from tideusher.core.decide.failures import at_fault
-from tideusher.core.decide.falls import TAKEN
-from tideusher.core.decide.gather import Gathering, Request
+from tideusher.core.decide.gang_reservations import Gathering, Request
+from tideusher.core.decide.mass_failures import TAKEN
 from tideusher.core.decide.order import order_jobs, urgency_us
+from tideusher.core.decide.pass_failures import PassFailed
 from tideusher.core.decide.placement import Demand, Room, Shelf
 from tideusher.core.decide.preempt import Offers, Stoppable, choose_room, room_of_halted
 from tideusher.core.decide.recovery import EVERYBODY
-from tideusher.core.decide.repeats import Refusals, rights
+from tideusher.core.decide.refusal_cache import Refusals, rights
+from tideusher.core.decide.task_failures import at_fault
 from tideusher.core.lead.cluster import Cluster
-from tideusher.core.picture.records import BOOTING, NO_ROOM, OPEN, UP, Job, Machine, Task
+from tideusher.core.model.records import BOOTING, NO_ROOM, OPEN, UP, Job, Machine, Task
 
 RESERVE_S = 12.0
 MOVE_ONE_OF = 40
--- a/src/tideusher/core/lead/soft.py
+++ b/src/tideusher/core/lead/soft_state.py
@@ -9,7 +9,7 @@
 
 from tideusher.clock import SECOND_US
 from tideusher.core.lead.engine import Engine
-from tideusher.core.picture.sightings import Sightings
+from tideusher.core.model.contacts import Sightings
 from tideusher.wire.peers import Failing, Refused, Reserved, Soft
 
 #: Of each kind so many are told, the ones that weigh most.
--- a/src/tideusher/core/lead/standby.py
+++ b/src/tideusher/core/lead/standby.py
@@ -12,9 +12,9 @@
 from typing import Any, Protocol
 
 from tideusher.config import Config, Policy
-from tideusher.core.picture import keys
-from tideusher.core.picture.picture import Picture, RecordOf, in_order
-from tideusher.core.picture.values import is_final
+from tideusher.core.model import keys
+from tideusher.core.model.cluster_state import Picture, RecordOf, in_order
+from tideusher.core.model.job_record import is_final
 
 #: Changes applied in one piece, records compared with the picture in one, and stamps at a takeover: some 3 ms each.
 PIECE, AUDITED, CHECKED = 60, 200, 4000
--- a/src/tideusher/core/picture/audit.py
+++ b/src/tideusher/core/model/audit.py
@@ -3,11 +3,11 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, Protocol
 
-from tideusher.core.picture import keys
-from tideusher.core.picture.ledger import Ledger
-from tideusher.core.picture.placements import Placements
-from tideusher.core.picture.records import CHUNK_TASKS, OPEN, RETURNING, Job, Machine, read_chunk
-from tideusher.core.picture.rentals import Rental
+from tideusher.core.model import keys
+from tideusher.core.model.ledger import Ledger
+from tideusher.core.model.placements import Placements
+from tideusher.core.model.records import CHUNK_TASKS, OPEN, RETURNING, Job, Machine, read_chunk
+from tideusher.core.model.rentals import Rental
 
 #: So many jobs of a page are named where it differs.
 JOBS_NAMED = 3
--- a/src/tideusher/core/picture/picture.py
+++ b/src/tideusher/core/model/cluster_state.py
@@ -15,13 +15,15 @@
 
 from tideusher.clock import to_us
 from tideusher.config import Config, Policy, Team
-from tideusher.core.picture import audit, keys
-from tideusher.core.picture.arrivals import Arrivals
-from tideusher.core.picture.held_records import HeldRecord, HeldRecords, RecordName
-from tideusher.core.picture.ledger import Ledger
-from tideusher.core.picture.pages import is_fenced
-from tideusher.core.picture.placements import Placements
-from tideusher.core.picture.records import (
+from tideusher.core.model import audit, keys
+from tideusher.core.model.arrivals import Arrivals
+from tideusher.core.model.contacts import Zones
+from tideusher.core.model.held_records import HeldRecord, HeldRecords, RecordName
+from tideusher.core.model.job_record import holder, is_final
+from tideusher.core.model.ledger import Ledger
+from tideusher.core.model.pages import is_fenced
+from tideusher.core.model.placements import Placements
+from tideusher.core.model.records import (
     ASSIGNED,
     BOOTING,
     CHUNK_TASKS,
@@ -34,9 +36,7 @@
     chunk_value,
     read_chunk,
 )
-from tideusher.core.picture.rentals import Rental, RentalIndex
-from tideusher.core.picture.sightings import Zones
-from tideusher.core.picture.values import holder, is_final
+from tideusher.core.model.rentals import Rental, RentalIndex
 from tideusher.wire.cloud import MachineType
 from tideusher.wire.jobs import JobSpec
 
--- a/src/tideusher/core/picture/turns.py
+++ b/src/tideusher/core/model/fair_queue.py
@@ -9,7 +9,7 @@
 from collections.abc import Generator, Iterator
 from dataclasses import dataclass, field
 
-from tideusher.core.picture.entries import Entry
+from tideusher.core.model.entries import Entry
 
 
 @dataclass(slots=True)
--- a/src/tideusher/core/picture/values.py
+++ b/src/tideusher/core/model/job_record.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import OPEN, Job
+from tideusher.core.model import keys
+from tideusher.core.model.records import OPEN, Job
 from tideusher.wire.jobs import JobSpec
 
 #: So many of a job's stops are on record while it is open.
--- a/src/tideusher/core/picture/ledger.py
+++ b/src/tideusher/core/model/ledger.py
@@ -15,7 +15,7 @@
 
 from tideusher.clock import SECOND_US, to_us
 from tideusher.config import Policy, Team
-from tideusher.core.picture.records import Job, Machine, Task
+from tideusher.core.model.records import Job, Machine, Task
 
 #: Teams without a guarantee sort behind every ratio that a charge can reach.
 NO_GUARANTEE = 1e12
--- a/src/tideusher/core/picture/pages.py
+++ b/src/tideusher/core/model/pages.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from tideusher.core.picture import keys
+from tideusher.core.model import keys
 
 #: New members are put into a page up to this part of the limit: what is there grows by completions and stops.
 FILLED = 0.875
--- a/src/tideusher/core/picture/placements.py
+++ b/src/tideusher/core/model/placements.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tideusher.core.picture import keys
+from tideusher.core.model import keys
 
 
 @dataclass(slots=True)
--- a/src/tideusher/core/picture/rentals.py
+++ b/src/tideusher/core/model/rentals.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from tideusher.core.picture.records import Machine
+from tideusher.core.model.records import Machine
 
 #: With the name of a machine that no rental named: the rental that it is kept under.
 ADOPTED = "adopted-"
--- a/src/tideusher/core/picture/drafts.py
+++ b/src/tideusher/core/model/transactions.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from tideusher.core.picture.entries import Effect, Entry
-from tideusher.core.picture.pages import FILLED, Page, Pages, member_size
+from tideusher.core.model.entries import Effect, Entry
+from tideusher.core.model.pages import FILLED, Page, Pages, member_size
 from tideusher.wire.state import Delete, Guard, Put
 
 #: The state service takes so many conditions for each change that it takes.
--- a/src/tideusher/core/picture/write_queue.py
+++ b/src/tideusher/core/model/write_queue.py
@@ -15,10 +15,10 @@
 from collections.abc import Callable, Iterable
 from contextlib import closing
 
-from tideusher.core.picture.drafts import GUARDS_A_CHANGE, Batch, Draft
-from tideusher.core.picture.entries import Effect, Entry
-from tideusher.core.picture.pages import NULL, Pages
-from tideusher.core.picture.turns import TurnQueue
+from tideusher.core.model.entries import Effect, Entry
+from tideusher.core.model.fair_queue import TurnQueue
+from tideusher.core.model.pages import NULL, Pages
+from tideusher.core.model.transactions import GUARDS_A_CHANGE, Batch, Draft
 from tideusher.wire.state import Guard
 
 __all__ = ["Batch", "Effect", "Entry", "WriteQueue"]
--- a/src/tideusher/embed/directory.py
+++ b/src/tideusher/embed/directory.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import OPEN
+from tideusher.core.model import keys
+from tideusher.core.model.records import OPEN
 from tideusher.embed.archive import Archive
 from tideusher.embed.disk import Disk
 from tideusher.embed.journal import Items, Journal
--- a/src/tideusher/embed/instance.py
+++ b/src/tideusher/embed/instance.py
@@ -21,9 +21,9 @@
 from tideusher.config import Policy
 from tideusher.core.lead import explain
 from tideusher.core.lead.engine import Engine
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import JOB_CANCELLED, JOB_DONE, OPEN
-from tideusher.core.picture.values import held_value, open_value
+from tideusher.core.model import keys
+from tideusher.core.model.job_record import held_value, open_value
+from tideusher.core.model.records import JOB_CANCELLED, JOB_DONE, OPEN
 from tideusher.embed.directory import Directory
 from tideusher.embed.disk import Disk
 from tideusher.embed.errors import Closed, Damaged, EmbedError, Forked, Refused, StorageError
--- a/src/tideusher/node.py
+++ b/src/tideusher/node.py
@@ -22,9 +22,9 @@
 from tideusher.config import Config, Policy
 from tideusher.core.decide.cancellations import TOLD, Cancellations
 from tideusher.core.decide.succession import Standing
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import JOB_CANCELLED
-from tideusher.core.picture.sightings import Own, Sightings
+from tideusher.core.model import keys
+from tideusher.core.model.contacts import Own, Sightings
+from tideusher.core.model.records import JOB_CANCELLED
 from tideusher.metrics import Metrics
 from tideusher.web import Web
 from tideusher.wire import peers as peer_wire
--- a/src/tideusher/playground/servers.py
+++ b/src/tideusher/playground/servers.py
@@ -13,7 +13,7 @@
 
 from tideusher.actors.http import CallFailed, HttpClient
 from tideusher.clock import Clock
-from tideusher.core.picture import keys
+from tideusher.core.model import keys
 from tideusher.playground.standins import TYPE, OnMachine, StateStandIn, WorkerStandIn
 from tideusher.wire import cloud, workers
 from tideusher.wire.jobs import JobSpec
--- a/src/tideusher/playground/standins.py
+++ b/src/tideusher/playground/standins.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from tideusher.clock import SECOND_US
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import JOB_CANCELLED, OPEN
-from tideusher.core.picture.values import open_value
+from tideusher.core.model import keys
+from tideusher.core.model.job_record import open_value
+from tideusher.core.model.records import JOB_CANCELLED, OPEN
 from tideusher.wire.cloud import MachineType
 from tideusher.wire.jobs import JobSpec
 from tideusher.wire.state import Delete, Guard, Put
--- a/src/tideusher/scale/judge.py
+++ b/src/tideusher/scale/judge.py
@@ -6,7 +6,7 @@
 
 from tideusher.clock import to_us
 from tideusher.config import Team
-from tideusher.core.picture.records import allowed_on
+from tideusher.core.model.records import allowed_on
 from tideusher.scale import answers, events
 from tideusher.scale.machine import Jobs
 from tideusher.wire.jobs import GANG, JobSpec
--- a/src/tideusher/scale/state_service.py
+++ b/src/tideusher/scale/state_service.py
@@ -15,8 +15,8 @@
 from tideusher.actors.store import Bucket
 from tideusher.clock import Clock, to_s
 from tideusher.config import split_address
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import OPEN
+from tideusher.core.model import keys
+from tideusher.core.model.records import OPEN
 from tideusher.playground.servers import StateServer
 from tideusher.playground.standins import StateStandIn
 from tideusher.scale.endpoint import HubLink, run_role
--- a/src/tideusher/scale/waiting.py
+++ b/src/tideusher/scale/waiting.py
@@ -12,7 +12,7 @@
 
 from tideusher.clock import to_us
 from tideusher.config import Team
-from tideusher.core.picture.records import allowed_on
+from tideusher.core.model.records import allowed_on
 from tideusher.scale import events
 from tideusher.scale.judge import Judge
 from tideusher.scale.machine import Jobs
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -28,8 +28,8 @@
 from tideusher.clock import SECOND_US
 from tideusher.config import Peer, Policy, StateSettings
 from tideusher.core.decide.placement import slots_in
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import UP
+from tideusher.core.model import keys
+from tideusher.core.model.records import UP
 from tideusher.node import Node
 from tideusher.playground.servers import Specs, StateServer
 from tideusher.playground.standins import TYPE, StateStandIn, WorkerStandIn
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -19,9 +19,9 @@
 from tideusher.core.lead.engine import Engine
 from tideusher.core.lead.reports import Reports
 from tideusher.core.lead.scheduler import Scheduler
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import JOB_DONE, OPEN
-from tideusher.core.picture.write_queue import Batch
+from tideusher.core.model import keys
+from tideusher.core.model.records import JOB_DONE, OPEN
+from tideusher.core.model.write_queue import Batch
 from tideusher.metrics import Metrics
 from tideusher.playground.standins import TYPE, OnMachine, StateStandIn, WorkerStandIn
 from tideusher.wire.jobs import JobSpec
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -15,9 +15,9 @@
 from tideusher.actors.store import Store, Stored, Unavailable
 from tideusher.actors.users import Users
 from tideusher.config import Policy
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import JOB_DONE
-from tideusher.core.picture.values import open_value
+from tideusher.core.model import keys
+from tideusher.core.model.job_record import open_value
+from tideusher.core.model.records import JOB_DONE
 from tideusher.metrics import Metrics
 from tideusher.wire import state
 from tideusher.wire.jobs import JobStatus
--- a/tests/test_background_calls.py
+++ b/tests/test_background_calls.py
@@ -25,7 +25,7 @@
 from tideusher.actors.peers import Link
 from tideusher.config import Peer
 from tideusher.core.lead.cluster import Direct
-from tideusher.core.picture import keys
+from tideusher.core.model import keys
 from tideusher.metrics import Metrics
 from tideusher.wire import cloud as cloud_wire
 from tideusher.wire import workers
--- a/tests/test_conditions.py
+++ b/tests/test_conditions.py
@@ -11,9 +11,9 @@
 from tideusher.clock import SECOND_US
 from tideusher.core.decide import conditions
 from tideusher.core.lead import explain
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import COMMITTING, JOB_CANCELLED, JOB_DONE, OPEN
-from tideusher.core.picture.values import held_value
+from tideusher.core.model import keys
+from tideusher.core.model.job_record import held_value
+from tideusher.core.model.records import COMMITTING, JOB_CANCELLED, JOB_DONE, OPEN
 from tideusher.wire.jobs import After, InvalidJob, parse_job
 from tideusher.wire.state import Put
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,12 +6,12 @@
 from tideusher.clock import SECOND_US
 from tideusher.config import Policy, Team
 from tideusher.core.decide.fleet import Fleet
-from tideusher.core.decide.gather import BEST, NONE, OTHER, Gathering, Request
+from tideusher.core.decide.gang_reservations import BEST, NONE, OTHER, Gathering, Request
 from tideusher.core.decide.order import order_jobs
 from tideusher.core.decide.placement import Room, part_of
 from tideusher.core.decide.preempt import Offers, Standing, Stoppable, choose_room, protected_until_us
-from tideusher.core.picture.ledger import NO_GUARANTEE, Ledger
-from tideusher.core.picture.records import SEEN, UP, Job, Machine, Task
+from tideusher.core.model.ledger import NO_GUARANTEE, Ledger
+from tideusher.core.model.records import SEEN, UP, Job, Machine, Task
 
 POLICY = Policy()
 
--- a/tests/test_deposed_leader.py
+++ b/tests/test_deposed_leader.py
@@ -17,7 +17,7 @@
 import pytest
 
 from standins import job
-from tideusher.core.picture import keys
+from tideusher.core.model import keys
 from tideusher.invariants import LOGGER
 
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -16,9 +16,9 @@
 from tideusher.cli import main
 from tideusher.config import ConfigError, Policy, load_config, load_policy
 from tideusher.core.lead import explain
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import JOB_CANCELLED, JOB_DONE
-from tideusher.core.picture.values import open_value
+from tideusher.core.model import keys
+from tideusher.core.model.job_record import open_value
+from tideusher.core.model.records import JOB_CANCELLED, JOB_DONE
 from tideusher.metrics import Metrics
 from tideusher.web import MAX_USER_REQUESTS, Web
 from tideusher.wire.peers import ReportAnswer
--- a/tests/test_failing_messages.py
+++ b/tests/test_failing_messages.py
@@ -12,11 +12,11 @@
 import pytest
 
 from standins import job
-from tideusher.core.decide.failing import FIRST_PAUSE_US, MOST, InputFailed, PassFailures, Remedy
+from tideusher.core.decide.pass_failures import FIRST_PAUSE_US, MOST, InputFailed, PassFailures, Remedy
 from tideusher.core.lead.cluster import Cluster
 from tideusher.core.lead.renting import Renting
 from tideusher.core.lead.reports import Reports
-from tideusher.core.picture import keys
+from tideusher.core.model import keys
 
 #: Messages to a leader that change what it decides on, with arguments in the place of their own after the token.
 CHANGING = (
--- a/tests/test_failing_pass.py
+++ b/tests/test_failing_pass.py
@@ -4,7 +4,7 @@
 
 from standins import job
 from tideusher.actors.leader import Leader
-from tideusher.core.decide.failing import (
+from tideusher.core.decide.pass_failures import (
     FIRST_PAUSE_US,
     LAST_PAUSE_US,
     MOST,
@@ -15,7 +15,7 @@
 )
 from tideusher.core.lead.scheduler import Scheduler
 from tideusher.core.lead.standby import Standby
-from tideusher.core.picture import keys
+from tideusher.core.model import keys
 
 
 def fail_for(monkeypatch, wanted):
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -6,13 +6,13 @@
 from region import CUT, DEAD, HANGS, MUTE, UP, Region
 from standins import job
 from tideusher.config import Team
-from tideusher.core.decide import falls as falls_module
-from tideusher.core.decide.falls import ASKING, FALLEN, SAMPLE, Evidence, judge
-from tideusher.core.decide.falls import CUT as CUT_OFF
-from tideusher.core.decide.gather import Request
+from tideusher.core.decide import mass_failures as falls_module
+from tideusher.core.decide.gang_reservations import Request
+from tideusher.core.decide.mass_failures import ASKING, FALLEN, SAMPLE, Evidence, judge
+from tideusher.core.decide.mass_failures import CUT as CUT_OFF
 from tideusher.core.decide.recovery import Fall, read_fall
-from tideusher.core.lead.explain import explain_job, falls
-from tideusher.core.picture import keys
+from tideusher.core.lead.explain import explain_job, mass_failures
+from tideusher.core.model import keys
 
 
 def service(tasks=4, team="red", **fields):
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -2,8 +2,8 @@
 
 from standins import job
 from tideusher.core.lead.reports import Reports
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import ASSIGNED, CHUNK_TASKS, COMMITTING, JOB_CANCELLED, JOB_DONE, RETURNING
+from tideusher.core.model import keys
+from tideusher.core.model.records import ASSIGNED, CHUNK_TASKS, COMMITTING, JOB_CANCELLED, JOB_DONE, RETURNING
 from tideusher.wire.workers import Report
 
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -10,8 +10,8 @@
 import pytest
 import xxhash
 
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import JOB_DONE, OPEN
+from tideusher.core.model import keys
+from tideusher.core.model.records import JOB_DONE, OPEN
 from tideusher.embed import Closed, Damaged, Locked, StorageError
 from tideusher.embed.directory import Directory
 from tideusher.embed.disk import Disk
--- a/tests/test_paused_leader.py
+++ b/tests/test_paused_leader.py
@@ -7,7 +7,7 @@
 import pytest
 
 from standins import job
-from tideusher.core.picture import keys
+from tideusher.core.model import keys
 
 
 def pause_in_outage(sim, paused_s=5.0, outage_s=7.0):
--- a/tests/test_pbs.py
+++ b/tests/test_pbs.py
@@ -17,10 +17,9 @@
 from tideusher.cli import main
 from tideusher.client import Client, ServiceError
 from tideusher.config import ConfigError, load_settings
-from tideusher.core.picture import keys
+from tideusher.core.model import keys
 from tideusher.pbs import Refusal, read_script, translate
 from tideusher.pbs.ids import BadId, parse_id, pbs_id
-from tideusher.pbs.keep import Damaged, TooLong, expand, pack, squeeze, unpack
 from tideusher.pbs.resources import (
     BadResource,
     parse_duration_s,
@@ -31,6 +30,7 @@
     split_list,
 )
 from tideusher.pbs.script import MAX_SCRIPT
+from tideusher.pbs.storage import Damaged, TooLong, expand, pack, squeeze, unpack
 from tideusher.pbs.translate import Run
 from tideusher.wire.arrays import parse_indexes
 from tideusher.wire.jobs import parse_job
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -19,9 +19,9 @@
 from tideusher.actors.users import Users
 from tideusher.core.lead.cluster import Cluster
 from tideusher.core.lead.reports import Reports
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import JOB_CANCELLED, JOB_DONE
-from tideusher.core.picture.write_queue import WriteQueue
+from tideusher.core.model import keys
+from tideusher.core.model.records import JOB_CANCELLED, JOB_DONE
+from tideusher.core.model.write_queue import WriteQueue
 from tideusher.wire.jobs import JobStatus
 
 SEEDS = int(os.environ.get("FAULTS_SEEDS", "12"))
--- a/tests/test_record_orders.py
+++ b/tests/test_record_orders.py
@@ -24,8 +24,8 @@
 
 from standins import Bed, job, make_config
 from tideusher.config import Policy
-from tideusher.core.picture import keys
-from tideusher.core.picture.picture import Picture
+from tideusher.core.model import keys
+from tideusher.core.model.cluster_state import Picture
 from tideusher.wire.state import Delete, Put
 
 HOSTS = ("host-1", "host-2")
--- a/tests/test_run_time_invariants.py
+++ b/tests/test_run_time_invariants.py
@@ -8,9 +8,9 @@
 from tideusher.actors.leader import Leader
 from tideusher.core.decide.fleet import Wish
 from tideusher.core.decide.starts import Kind, Refusal, refusal, zones_of_others
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import RETURNING, UP, Machine
-from tideusher.core.picture.rentals import Rental
+from tideusher.core.model import keys
+from tideusher.core.model.records import RETURNING, UP, Machine
+from tideusher.core.model.rentals import Rental
 from tideusher.invariants import Rule
 
 breaks_invariants = pytest.mark.breaks_invariants
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -14,9 +14,9 @@
 from tideusher.core.lead.engine import Engine
 from tideusher.core.lead.renting import Renting
 from tideusher.core.lead.standby import Standby
-from tideusher.core.picture import keys
-from tideusher.core.picture.ledger import Ledger
-from tideusher.core.picture.picture import Picture
+from tideusher.core.model import keys
+from tideusher.core.model.cluster_state import Picture
+from tideusher.core.model.ledger import Ledger
 from tideusher.metrics import Metrics
 from tideusher.playground.standins import TYPE, StateStandIn
 from tideusher.wire.state import Delete, Put
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -5,8 +5,8 @@
 
 from standins import FakeClock, make_config
 from tideusher.actors.store import Bucket, Busy, Demand, Store
-from tideusher.core.picture import keys
-from tideusher.core.picture.write_queue import Entry, WriteQueue
+from tideusher.core.model import keys
+from tideusher.core.model.write_queue import Entry, WriteQueue
 from tideusher.metrics import Metrics
 from tideusher.wire import state
 
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -3,8 +3,8 @@
 import pytest
 
 from standins import Harness, job
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import JOB_DONE, OPEN
+from tideusher.core.model import keys
+from tideusher.core.model.records import JOB_DONE, OPEN
 
 
 def random_job(h: Harness):
--- a/tests/test_two_rentals.py
+++ b/tests/test_two_rentals.py
@@ -21,10 +21,10 @@
 
 from standins import Bed, job, make_config
 from tideusher.config import Policy
-from tideusher.core.decide.falls import MANY
-from tideusher.core.picture import keys
-from tideusher.core.picture.picture import Picture
-from tideusher.core.picture.records import RETURNING
+from tideusher.core.decide.mass_failures import MANY
+from tideusher.core.model import keys
+from tideusher.core.model.cluster_state import Picture
+from tideusher.core.model.records import RETURNING
 from tideusher.wire.cloud import FAILED, Listed
 from tideusher.wire.state import Delete, Put
 
--- a/tools/fuzz_pbs.py
+++ b/tools/fuzz_pbs.py
@@ -14,7 +14,7 @@
 
 from test_pbs import NOW, PROFILE, SAMPLES
 from tideusher.pbs import Refusal, read_script, translate
-from tideusher.pbs.keep import pack, unpack
+from tideusher.pbs.storage import pack, unpack
 from tideusher.wire.jobs import parse_job
 
 TOKENS = b"=:,+%-'\"\\#[] \t\r\n\0\xff0123456789abcdefghijklmnopqrstuvwxyzAJNPSVW"
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -16,10 +16,10 @@
 from standins import TYPE, Bed, job, make_config
 from tideusher.config import CloudSettings, StateSettings, Team
 from tideusher.core.lead.reports import Reports
-from tideusher.core.picture import keys
-from tideusher.core.picture.picture import Picture
-from tideusher.core.picture.records import UP, Machine
-from tideusher.core.picture.rentals import Rental
+from tideusher.core.model import keys
+from tideusher.core.model.cluster_state import Picture
+from tideusher.core.model.records import UP, Machine
+from tideusher.core.model.rentals import Rental
 from tideusher.wire.workers import Report, TaskReport
 
 TASKS_OF_A_JOB = 4
--- a/tools/measure_conditions.py
+++ b/tools/measure_conditions.py
@@ -15,12 +15,12 @@
 
 from standins import TYPE, Bed, job
 from tideusher.config import load_settings
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import UP, Machine
-from tideusher.core.picture.rentals import Rental
-from tideusher.core.picture.values import open_value
+from tideusher.core.model import keys
+from tideusher.core.model.job_record import open_value
+from tideusher.core.model.records import UP, Machine
+from tideusher.core.model.rentals import Rental
 from tideusher.pbs import read_script, translate
-from tideusher.pbs.keep import pack
+from tideusher.pbs.storage import pack
 from tideusher.wire.jobs import After
 
 SAMPLES = Path(__file__).parent.parent / "samples" / "pbs"
--- a/tools/measure_embed.py
+++ b/tools/measure_embed.py
@@ -17,8 +17,8 @@
 
 from tideusher.config import Team
 from tideusher.core.lead import scheduler
-from tideusher.core.picture import keys
-from tideusher.core.picture.records import JOB_DONE
+from tideusher.core.model import keys
+from tideusher.core.model.records import JOB_DONE
 from tideusher.embed import Card, Instance, MachineKind, Settings, small_job
 from tideusher.embed.directory import Directory
 from tideusher.wire.state import Put
@@ -136,7 +136,7 @@
 
 
 def _waiting(number: int) -> dict:
-    from tideusher.core.picture.values import open_value
+    from tideusher.core.model.job_record import open_value
 
     return open_value(small_job(f"req-{number + 10:09d}", "red", gpus=1.0), 0)
 
--- a/tools/measure_takeover.py
+++ b/tools/measure_takeover.py
@@ -19,7 +19,7 @@
 try:
     from tideusher.core.lead.engine import Engine
     from tideusher.core.lead.standby import Standby
-    from tideusher.core.picture import keys
+    from tideusher.core.model import keys
 except ImportError:
     from tideusher.core.engine import Engine
     from tideusher.core import keys
--- a/tools/soak_planted.py
+++ b/tools/soak_planted.py
@@ -45,7 +45,7 @@
         Change("actors/gateway.py", "return job_id in self._cancellations or", "return False and"),
     ],
     "the placing rule left out": [
-        Change("core/picture/records.py", "        and (spec.spot or not spot)\n", ""),
+        Change("core/model/records.py", "        and (spec.spot or not spot)\n", ""),
         Change("core/decide/starts.py", "if machine.spot and not spec.spot:", "if False:"),
     ],
 }
