--- a/src/tideusher/actors/cloud.py
+++ b/src/tideusher/actors/cloud.py
@@ -9,7 +9,7 @@
 
 from tideusher.actors.base import Actor
 from tideusher.actors.http import CallFailed, HttpClient
-from tideusher.actors.store import Bucket
+from tideusher.actors.store import TokenBucket
 from tideusher.clock import Clock
 from tideusher.config import Config
 from tideusher.metrics import Metrics
@@ -25,7 +25,7 @@
         super().__init__("cloud")
         self._metrics = metrics
         self._client = HttpClient(config.endpoints.cloud, timeout_s=5.0, keep=3)
-        self._bucket = Bucket(config.settings.cloud.rps * 0.9, clock)
+        self._bucket = TokenBucket(config.settings.cloud.rps * 0.9, clock)
         self._queue: PriorityQueue = PriorityQueue()
         self._count = 0
 
--- a/src/tideusher/actors/command_sender.py
+++ b/src/tideusher/actors/command_sender.py
@@ -12,7 +12,7 @@
 from tideusher.wire import workers
 
 #: The part of the process's sockets that calls to workers may take at a time.
-DIRECT_PART = 8
+SOCKET_SHARE_DIVISOR = 8
 CALL_S = 2.0
 
 
@@ -29,7 +29,7 @@
     def __init__(self, max_sockets: int, spawn: Callable[..., Any], answered: Callable[[int, bytes], None]) -> None:
         """`answered` is given the token of a call and the report in its answer."""
         self.log = logging.getLogger("leader")
-        self._kept = max_sockets // DIRECT_PART
+        self._kept = max_sockets // SOCKET_SHARE_DIVISOR
         self._answered = answered
         self._clients: dict[str, tuple[str, HttpClient]] = {}  # by machine, with the address
         self._queue: CallQueue[Destination] = CallQueue(spawn, lambda to, commands: self.call(*to, commands))
--- a/src/tideusher/actors/election.py
+++ b/src/tideusher/actors/election.py
@@ -14,7 +14,7 @@
 
 import gevent
 
-from tideusher.actors.store import Conflict, NoLease, Store, Stored, Unavailable, lease_of
+from tideusher.actors.store import Conflict, MirroredValue, NoLease, Store, Unavailable, lease_of
 from tideusher.clock import SECOND_US, Clock, to_us
 from tideusher.config import Config, Policy
 from tideusher.core.decide.succession import (
@@ -33,7 +33,7 @@
 from tideusher.wire import state
 
 #: What an earlier life of this controller has sent may land so long after its lease would have ended.
-FORMER_US = SECOND_US
+PREVIOUS_RUN_GRACE_US = SECOND_US
 
 
 class Election:
@@ -54,13 +54,13 @@
         self.elected_us = 0
         self._reign: Leadership | None = None  # of another
         self._begun = False  # have we looked once who leads?
-        self._free_us: int | None = None  # since when nobody leads
+        self._leaderless_since_us: int | None = None  # since when nobody leads
         self._rests_until_us = 0
         self._doubts_us: int | None = None  # since when what we know of the leadership is too old
         self._born_us = clock.now_us()
         self._size = config.settings.size
-        self._ours: Callable[[], Candidate] = lambda: Candidate(config.node, config.zone, True, behind=0)
-        self._others: Callable[[], list[Candidate]] = list
+        self._own_candidate: Callable[[], Candidate] = lambda: Candidate(config.node, config.zone, True, behind=0)
+        self._peer_candidates: Callable[[], list[Candidate]] = list
         self._elected: Callable[[int], None] = lambda token: None
 
     def start(self) -> None:
@@ -70,19 +70,24 @@
 
     def _on_change(self, key: str, value: Any, stamp: int) -> None:
         """Our own key is there: we lead, also while the answer to our request is lost and still waited for."""
-        if key == keys.LEADER and value is not None and value.get("nonce") == self._nonce and not self._doubted():
+        if (
+            key == keys.LEADER
+            and value is not None
+            and value.get("nonce") == self._nonce
+            and not self._leadership_unconfirmed()
+        ):
             self._leads(stamp)
 
     def _leads(self, token: int) -> None:
         """Lead under a token from now on, or go on; under one that we let go of, never again."""
-        self._free_us, self._reign = None, None
+        self._leaderless_since_us, self._reign = None, None
         if token <= self._last_token:
             return
         self.log.info("%s leads with token %d", self._node, token)
         self.elected_us, self.token, self._last_token = self._clock.now_us(), token, token
         self._elected(token)
 
-    def _still_there(self, stored: Stored) -> None:
+    def _handle_own_key(self, stored: MirroredValue) -> None:
         """The key holds our name: we lead, or it is of a leadership of ours that we let go of.
 
         That one we stand anew in place of, or end it if another is to lead.
@@ -98,14 +103,14 @@
         self, ours: Callable[[], Candidate], others: Callable[[], list[Candidate]], elected: Callable[[int], None]
     ) -> None:
         """Where to ask how this controller and the others stand, and whom to tell that we lead."""
-        self._ours, self._others, self._elected = ours, others, elected
+        self._own_candidate, self._peer_candidates, self._elected = ours, others, elected
 
     def process_paused(self, for_us: int, now_us: int) -> None:
         """The process did nothing for so long: if our lease may have ended, we lead only once a read says so."""
         if for_us >= to_us(self._ttl_s):
             self._doubts_us, self.token, self._lease = now_us, None, None
 
-    def _doubted(self) -> bool:
+    def _leadership_unconfirmed(self) -> bool:
         contact_us = self._store.contact_us
         if self._doubts_us is not None and contact_us is not None and contact_us >= self._doubts_us:
             self._doubts_us = None
@@ -119,7 +124,9 @@
         """Why we give up our leadership; empty: we do not."""
         if self.token is None or self.rests():
             return ""
-        return step_down_reason(self._ours(), self._others(), self._clock.now_us() - self.elected_us)
+        return step_down_reason(
+            self._own_candidate(), self._peer_candidates(), self._clock.now_us() - self.elected_us
+        )
 
     def end_term(self, leave: bool = False) -> None:
         """End our leadership: whatever is decided next is decided under another token, or elsewhere if we `leave`."""
@@ -136,7 +143,9 @@
     def successor(self) -> str:
         """Who stands first if the leader ends now, as far as we know; empty: nobody that we hear."""
         leader, token = self.leader() or ("", 0)
-        order = succession_order([one for one in [self._ours(), *self._others()] if one.node != leader], token)
+        order = succession_order(
+            [one for one in [self._own_candidate(), *self._peer_candidates()] if one.node != leader], token
+        )
         return order[0] if order else ""
 
     def leader(self) -> tuple[str, int] | None:
@@ -150,16 +159,16 @@
         while True:
             stored = self._store.mirror.get(keys.LEADER)
             try:
-                if self._doubted():
+                if self._leadership_unconfirmed():
                     gevent.sleep(0.1)
                 elif stored is None:
-                    self._nobody_leads()
+                    self._handle_no_leader()
                 elif stored.value.get("nonce") == self._nonce:
-                    self._still_there(stored)
+                    self._handle_own_key(stored)
                     gevent.sleep(0.1)
                 else:
-                    self._free_us = self.token = None
-                    self._another_leads(stored)
+                    self._leaderless_since_us = self.token = None
+                    self._handle_other_leader(stored)
                     gevent.sleep(0.1)
             except (Unavailable, NoLease) as error:
                 self.log.info("not elected: %s", error or "the lease ran out")
@@ -169,22 +178,26 @@
                 self.log.exception("could not look after the leadership")
                 gevent.sleep(1.0)
 
-    def _nobody_leads(self) -> None:
+    def _handle_no_leader(self) -> None:
         self.token, now_us, self._begun = None, self._clock.now_us(), True
-        if self._free_us is None:
-            self._free_us = now_us
+        if self._leaderless_since_us is None:
+            self._leaderless_since_us = now_us
         token = self._reign.token if self._reign is not None else 0
-        if now_us - self._free_us < election_delay_us(self._ours(), self._others(), token):
+        if now_us - self._leaderless_since_us < election_delay_us(
+            self._own_candidate(), self._peer_candidates(), token
+        ):
             gevent.sleep(0.05)  # whoever stands before us is let go first
             return
         self._stand(0, 0)
 
-    def _another_leads(self, stored: Stored) -> None:
+    def _handle_other_leader(self, stored: MirroredValue) -> None:
         now_us = self._clock.now_us()
         if self._reign is None or self._reign.token != stored.stamp:
             self._reign = Leadership(stored.value["node"], stored.stamp, now_us, stored.value.get("early", 0))
         begun, self._begun = self._begun, True
-        if self._reign.node == self._node and (not begun or now_us - self._born_us < to_us(self._ttl_s) + FORMER_US):
+        if self._reign.node == self._node and (
+            not begun or now_us - self._born_us < to_us(self._ttl_s) + PREVIOUS_RUN_GRACE_US
+        ):
             # An earlier life of this very controller: it ended, and its lease need not run out. A request of it to
             # lead may even land after we looked first, when we are back within a fraction of a second; its lease is
             # not renewed, so not for long. Later than that it is left alone: two that were given one name by mistake
@@ -192,9 +205,9 @@
             self.log.info("an earlier life of this controller leads; its leadership is ended")
             self._remove(stored.stamp)
             return
-        why = takeover_reason(self._reign, self._ours(), self._others(), self._size, now_us) or self._shut_out(
-            self._reign
-        )
+        why = takeover_reason(
+            self._reign, self._own_candidate(), self._peer_candidates(), self._size, now_us
+        ) or self._shut_out(self._reign)
         if why:
             self.log.info("take the leadership from %s: %s", self._reign.node, why)
             self._stand(stored.stamp, early_after(self._reign, now_us))
@@ -202,9 +215,13 @@
     def _shut_out(self, leadership: Leadership) -> str:
         """Is the leader an older version, none of whose transactions can go through while records share pages?"""
         fence = self._store.mirror.get(keys.FENCE)
-        if fence is None or not is_fenced(fence.value, fence.stamp) or not self._ours().in_contact:
+        if fence is None or not is_fenced(fence.value, fence.stamp) or not self._own_candidate().in_contact:
             return ""
-        return "it does not read shared records" if leader_cannot_read_pages(leadership.node, self._others()) else ""
+        return (
+            "it does not read shared records"
+            if leader_cannot_read_pages(leadership.node, self._peer_candidates())
+            else ""
+        )
 
     def _remove(self, token: int) -> None:
         """End a leadership, if it is still the one of this token."""
--- a/src/tideusher/actors/gateway.py
+++ b/src/tideusher/actors/gateway.py
@@ -60,14 +60,14 @@
         self.log = logging.getLogger("gateway")
         self._config, self._clock = config, clock
         self._store, self._election, self._leader, self._peers = store, election, leader, peers
-        self._directions = RedirectPolicy()
-        self._ear = ReportMonitor(config.settings.workers)
+        self._redirect_policy = RedirectPolicy()
+        self._report_monitor = ReportMonitor(config.settings.workers)
         self._own = own or LocalContacts(to_us(config.settings.workers.report_s))
         self._cancellations = cancellations or Cancellations(0)
 
     def deaf(self) -> bool:
         """Have all workers that reported here fallen silent?"""
-        return self._ear.deaf(self._clock.now_us())
+        return self._report_monitor.deaf(self._clock.now_us())
 
     def handle(self, body: bytes) -> Answer:
         """Answer one report. One that is passed on is read as far as that needs; the leader reads it whole."""
@@ -79,7 +79,7 @@
 
     def _handle(self, report: workers.ReportHead, body: bytes) -> Answer:
         now_us = self._clock.now_us()
-        self._ear.heard(now_us)
+        self._report_monitor.heard(now_us)
         other = self._better_node(report)
         if other is not None:
             return Answer(421, workers.encode(workers.Redirect(other)))
@@ -96,7 +96,7 @@
 
     def _known(self) -> tuple[str, int] | None:
         """The newest leadership we know of: our mirror's, or one that a peer has told of."""
-        told = self._peers.told_leader()
+        told = self._peers.reported_leader()
         known = self._election.leader()
         return told if told[1] > (known[1] if known else 0) else known
 
@@ -109,7 +109,7 @@
             for link in self._peers.links.values()
             if link.usable()
         ]
-        return self._directions.redirect_target(report.machine, report.zone, doors, self._clock.now_us())
+        return self._redirect_policy.redirect_target(report.machine, report.zone, doors, self._clock.now_us())
 
     def _from_leader(self, node: str, body: bytes) -> bytes | None:
         if node == self._config.node:
@@ -123,7 +123,7 @@
             return None
         # Over links of half a second each way no answer of the leader ever reached a worker: leases were kept by
         # gateways alone, and nothing started.
-        wait_s = min(FORWARD_MOST_S, max(FORWARD_S, ROUNDS * to_s(link.round_us)))
+        wait_s = min(FORWARD_MOST_S, max(FORWARD_S, ROUNDS * to_s(link.round_trip_us)))
         answer = link.ask(lambda number: ForwardReport(number, msgspec.Raw(body)), wait_s)
         return bytes(answer.body) if answer is not None and answer.ok else None
 
@@ -134,7 +134,7 @@
         token = known[1] if known is not None else report.token
         if report.token > token:
             return Answer(503, b'{"error":"a newer leader is not known here yet"}')
-        self.log.debug("answer %s alone, token %d: %s", report.machine, token, self._store.told_read())
+        self.log.debug("answer %s alone, token %d: %s", report.machine, token, self._store.describe_last_read())
         return Answer(200, workers.encode(workers.Commands(token, halts(report, self._cancelled))))
 
     def _cancelled(self, job_id: str) -> bool:
--- a/src/tideusher/actors/halts.py
+++ b/src/tideusher/actors/halts.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from tideusher.actors.call_queue import CallQueue
-from tideusher.actors.command_sender import DIRECT_PART
+from tideusher.actors.command_sender import SOCKET_SHARE_DIVISOR
 from tideusher.actors.http import CallFailed, HttpClient
 from tideusher.clock import SECOND_US, Clock
 from tideusher.core.model.records import Job
@@ -27,7 +27,9 @@
     def __init__(self, clock: Clock, max_sockets: int, spawn: Callable[..., Any]) -> None:
         self.log = logging.getLogger("leader")
         self._clock = clock
-        self._queue: CallQueue[str] = CallQueue(spawn, self._call, max(1, max_sockets // DIRECT_PART))  # by address
+        self._queue: CallQueue[str] = CallQueue(
+            spawn, self._call, max(1, max_sockets // SOCKET_SHARE_DIVISOR)
+        )  # by address
         self._token = 0  # the newest that we were told of: a worker drops what carries an older one than it has seen
         self._called_us: dict[str, int] = {}  # by job
 
--- a/src/tideusher/actors/leader.py
+++ b/src/tideusher/actors/leader.py
@@ -13,7 +13,7 @@
 from tideusher.actors.election import Election
 from tideusher.actors.halts import HaltsForOthers
 from tideusher.actors.http import CallFailed, HttpClient
-from tideusher.actors.store import Busy, Conflict, NoLease, Store, Unavailable
+from tideusher.actors.store import Conflict, NoLease, Store, Throttled, Unavailable
 from tideusher.clock import Clock, to_s, to_us
 from tideusher.config import Config, Policy
 from tideusher.core.decide import reachability
@@ -39,7 +39,7 @@
 from tideusher.wire import workers
 from tideusher.wire.peers import Soft
 
-PASS_US = 150_000
+TICK_US = 150_000
 #: The cloud's list is asked for this often while it may tell of a fall that nothing else tells of.
 LIST_AGAIN_US = 1_500_000
 PROBE_S = 1.5
@@ -50,7 +50,7 @@
 #: How often a controller that does not lead compares some of what it followed with the records.
 AUDIT_US = 1_000_000
 #: A timer that fires so much later than it should tells that the whole process stood still, its clocks running on.
-STILL_US = 2_000_000
+PROCESS_PAUSE_US = 2_000_000
 #: Messages whose handlers change nothing, and those that change a standby's picture. After an exception in any other
 #: the leader's picture may be half changed.
 READING = frozenset({"question", "cancelled_here", "not_loaded"})
@@ -82,7 +82,7 @@
         self._standby = Standby(config, policy, clock.wall_us, self._record_of, lambda: store.mirror)
         self._following = False  # is a piece of following under way?
         self._standings: Callable[[], list[Candidate]] = list
-        self._sightings = WorkerContacts(LocalContacts(to_us(config.settings.workers.report_s)))
+        self._contacts = WorkerContacts(LocalContacts(to_us(config.settings.workers.report_s)))
         self._told: ReceivedSoftState | None = None  # what the last leader told that no record holds
         self._soft: Soft | None = None  # what we tell as a leader, made anew twice a second
         self._soft_us = 0
@@ -92,7 +92,7 @@
         self._failures, self._invariants = PassFailures(), Invariants(metrics)
         self._phases: list[str] = []  # of our takeover, those still to come
         #: How late our timers fire.
-        self.lag = TimerLag(PASS_US)
+        self.lag = TimerLag(TICK_US)
         self._beat_us: int | None = None
         self._loading = False
         self._probing: set[str] = set()
@@ -106,7 +106,7 @@
     def start(self) -> None:
         super().start()
         self._store.listen(self._on_change)
-        self.every(PASS_US, "timer_tick")
+        self.every(TICK_US, "timer_tick")
         self.every(AUDIT_US, "audit")
         self.every(to_us(self._policy.ledger__gather_s), "gather")
         self.every(to_us(max(2.0, self._config.settings.cloud.list_lag_s)), "survey")
@@ -119,17 +119,17 @@
         """Where to ask in which zones a controller that we hear hears none of its workers."""
         self._deaf_zones = deaf_zones
 
-    def hear_readers(self, reads: Callable[[str], bool]) -> None:
+    def set_reachability(self, reads: Callable[[str], bool]) -> None:
         """Where to ask whether another controller is heard, and reaches the state service."""
         self._reads = reads
 
-    def hear_standings(self, standings: Callable[[], list[Candidate]]) -> None:
+    def hear_standings(self, candidates: Callable[[], list[Candidate]]) -> None:
         """Where to ask which versions the other controllers are of, as far as they are heard."""
-        self._standings = standings
+        self._standings = candidates
 
-    def hear_sightings(self, contacts: WorkerContacts) -> None:
+    def set_contacts(self, contacts: WorkerContacts) -> None:
         """Where to ask which workers each controller hears."""
-        self._sightings = contacts
+        self._contacts = contacts
 
     def hear_soft(self, soft: Soft) -> None:
         """A leader told what no record holds."""
@@ -186,7 +186,7 @@
         now_us = self._clock.now_us()
         cluster_state = self._standby.cluster_state
         if cluster_state is not None:
-            for zone in self._sightings.all_reporting_zones(lambda name: _zone_of(cluster_state, name), now_us):
+            for zone in self._contacts.all_reporting_zones(lambda name: _zone_of(cluster_state, name), now_us):
                 cluster_state.zones.heard(zone, now_us)
 
     # ---------------------------------------------------------------- leadership
@@ -250,8 +250,8 @@
     def on_timer_tick(self) -> None:
         """A tick by the timer: how late it comes tells how slow we are."""
         now_us = self._clock.now_us()
-        late_us, self._beat_us = now_us - (self._beat_us or now_us) - PASS_US, now_us
-        if late_us > STILL_US:
+        late_us, self._beat_us = now_us - (self._beat_us or now_us) - TICK_US, now_us
+        if late_us > PROCESS_PAUSE_US:
             self._stood_still(late_us, now_us)
         self.lag.fired(now_us)
         self._give_way(self._engine)
@@ -261,7 +261,7 @@
         """Nothing believed of the time before counts: no silence, and no leadership until a read shows it."""
         self.log.info("stood still for %.1f s: silence counts from now", to_s(for_us))
         self._metrics.count("stood_still")
-        self._sightings.own.process_paused(for_us, now_us)
+        self._contacts.own.process_paused(for_us, now_us)
         cluster_state = (
             self._engine.cluster.cluster_state if self._engine is not None else self._standby.cluster_state
         )
@@ -310,7 +310,7 @@
         machines = list(cluster.machines.values())
 
         def heard_us(machine: Machine) -> int:
-            seen = self._sightings.last(machine.name, now_us)
+            seen = self._contacts.last(machine.name, now_us)
             return seen[0] if seen is not None else 0
 
         for machine, why in reachability.machines_out_of_contact(
@@ -377,14 +377,14 @@
             value_of=self._value_of,
         )
         self._phase("check records")
-        apply_contacts(self._engine, self._sightings, now_us)
+        apply_contacts(self._engine, self._contacts, now_us)
         self._use_soft(self._engine, token, now_us)
         cluster = self._engine.cluster
         cluster.failures = self._failures
         self._metrics.count("leaderships")
         self.log.info(
             "took over with token %d, engine %d: %d jobs, %d machines, %d records late; %s",
-            token, self._terms, len(cluster.jobs), len(cluster.machines), caught.late, self._store.told_read(),
+            token, self._terms, len(cluster.jobs), len(cluster.machines), caught.late, self._store.describe_last_read(),
         )  # fmt: skip
         self.on_survey()
         self.on_tick()
@@ -428,7 +428,7 @@
 
     def _address_of(self, machine: str) -> str:
         """Where some controller last heard the machine; empty: none did."""
-        seen = self._sightings.last(machine, self._clock.now_us())
+        seen = self._contacts.last(machine, self._clock.now_us())
         return seen[1] if seen is not None else ""
 
     def answer_reports(self, reports: list[workers.Report]) -> AsyncResult:
@@ -673,7 +673,7 @@
             self.log.info("transaction not confirmed: %s", error)
             self.tell("unwritable", engine)
             gevent.sleep(0.3)
-            self.tell("batch_failed", engine, self._store.sync(), False, not isinstance(error, Busy))
+            self.tell("batch_failed", engine, self._store.sync(), False, not isinstance(error, Throttled))
         else:
             self.tell("batch_committed", engine, revision)
 
--- a/src/tideusher/actors/peers.py
+++ b/src/tideusher/actors/peers.py
@@ -102,7 +102,7 @@
         #: Does the peer hear none of the workers that it had?
         self.deaf = False
         #: How long the last heartbeat and its answer were under way.
-        self.round_us = 0
+        self.round_trip_us = 0
 
     def usable(self) -> bool:
         """Connected, and heard from just now."""
@@ -196,7 +196,7 @@
         for message in messages:
             if isinstance(message, wire.Hello):
                 if message.sent:
-                    self.round_us = self._heard_us - message.sent
+                    self.round_trip_us = self._heard_us - message.sent
                 self.in_contact, self.writes, self.deaf = message.in_contact, message.writes, message.deaf
                 if message.token > self.told[1]:
                     self.told = (message.leader, message.token)
@@ -234,11 +234,11 @@
         for link in self.links.values():
             link.start()
 
-    def told_leader(self) -> tuple[str, int]:
+    def reported_leader(self) -> tuple[str, int]:
         """The newest leadership that any peer has told of, for a node that the state service shuns."""
         return max((link.told for link in self.links.values()), key=lambda told: told[1], default=("", 0))
 
-    def pass_on(self, method: str, path: str, body: str) -> wire.ReportAnswer | None:
+    def forward_request(self, method: str, path: str, body: str) -> wire.ReportAnswer | None:
         """Have a user's request answered by a peer that reaches the state service, if there is one.
 
         All of them together have as long as one: with six that were slow, one after the other, a user was told
@@ -261,12 +261,12 @@
         """Zones of which a controller that we hear hears none of the workers that it had."""
         return {link.peer.zone for link in self.links.values() if link.usable() and link.deaf}
 
-    def speaks(self, node: str) -> bool:
+    def is_connected(self, node: str) -> bool:
         """Is this controller heard by us right now?"""
         link = self.links.get(node)
         return link is not None and link.usable()
 
-    def standings(self) -> list[Candidate]:
+    def candidates(self) -> list[Candidate]:
         """Every other controller that we hear, as a possible leader."""
         return [
             Candidate(
--- a/src/tideusher/actors/store.py
+++ b/src/tideusher/actors/store.py
@@ -44,7 +44,7 @@
     """The state service does not answer, or refuses; nothing is known of what was asked."""
 
 
-class Busy(Unavailable):
+class Throttled(Unavailable):
     """The budget is spent for now: nothing was done, and it would take too long to wait."""
 
 
@@ -64,7 +64,7 @@
     """The lease has run out."""
 
 
-class Bucket:
+class TokenBucket:
     """A token bucket with a burst, by default one second's worth, as the service itself counts."""
 
     def __init__(self, rate: float, clock: Clock, burst: float = 0.0) -> None:
@@ -120,7 +120,7 @@
 
 
 @dataclass(slots=True)
-class Stored:
+class MirroredValue:
     """A mirrored key."""
 
     value: Any
@@ -137,14 +137,14 @@
         limits = config.settings.state
         nodes = max(1, config.settings.size)
         self._limits, self._others, self._node = limits, max(1, nodes - 1), config.node
-        self._requests = Bucket(limits.rps, clock)
-        self._writes = Bucket(limits.write_rps, clock)
+        self._requests = TokenBucket(limits.rps, clock)
+        self._writes = TokenBucket(limits.write_rps, clock)
         self._wanted = Demand(clock)
         self._told: Callable[[], dict[str, float]] = dict
         self._leading = False
         self._queued = 0  # writes of the leader's that wait for their turn
         self._client = HttpClient(config.endpoints.state, timeout_s=3.0, keep=6)
-        self.mirror: dict[str, Stored] = {}
+        self.mirror: dict[str, MirroredValue] = {}
         self._removed: dict[str, int] = {}
         #: Where the first tasks of each job are on record.
         self.placements = Placements(self._is_open)
@@ -211,7 +211,7 @@
         """Seconds since the newest read that was answered had been sent; infinite if none was."""
         return inf if self.contact_us is None else to_s(self._clock.now_us() - self.contact_us)
 
-    def told_read(self) -> str:
+    def describe_last_read(self) -> str:
         """What is known of the state service and since when, for the log."""
         return f"revision {self.revision} read {self.read_age_s():.2f} s ago"
 
@@ -247,7 +247,7 @@
             self._metrics.count("state_refusals", str(status))
             if status == 429:
                 self._requests.drain()
-                raise Busy(f"{method} {path}: 429")
+                raise Throttled(f"{method} {path}: 429")
             raise Unavailable(f"{method} {path}: 503")
         return status, answer
 
@@ -271,7 +271,7 @@
             pause_s = self._writes.wait_s(len(writes), 0 if ours else self._queued)
             if patience_s is not None and pause_s > patience_s:
                 self._writes.give_back(len(writes))
-                raise Busy("the budget of writes is spent")
+                raise Throttled("the budget of writes is spent")
             self._metrics.count("state_writes", "", len(writes))
             if pause_s:
                 self._queued += len(writes) if ours else 0
@@ -300,7 +300,7 @@
                 self._requests.wait_s(1)  # taken, not waited for: no write queues behind our reads
             try:
                 return self.call("POST", "/txn", body, budget=False)
-            except Busy:
+            except Throttled:
                 self._writes.drain()
                 if not pauses:
                     raise
@@ -398,7 +398,7 @@
             self.mirror.pop(key, None)
             self._removed[key] = stamp
         else:
-            self.mirror[key] = Stored(value, stamp)
+            self.mirror[key] = MirroredValue(value, stamp)
         self._place(key, value, stamp)
         for listener in self._listeners:
             try:
--- a/src/tideusher/actors/users.py
+++ b/src/tideusher/actors/users.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from tideusher.actors.replies import Reply, refusal
-from tideusher.actors.store import Busy, Conflict, NoLease, Store, Unavailable
+from tideusher.actors.store import Conflict, NoLease, Store, Throttled, Unavailable
 from tideusher.clock import Clock, to_us
 from tideusher.config import Config
 from tideusher.core.decide.conditions import unsatisfiable_reason
@@ -146,7 +146,7 @@
             revision = self._store.txn([Guard(key, 0)], [Put(key, value), *more], patience_s=PATIENCE_S)
         except Conflict:
             return self._state(spec.id)
-        except Busy:
+        except Throttled:
             self.log.info("could not accept %s now: too many changes at once", spec.id)
             return refusal(503, "too many changes at once")
         except (Unavailable, NoLease) as error:
@@ -253,7 +253,7 @@
             return Reply(200, JobStatus(job_id, wire.CANCELLED, 0, 0, why=value.get("why")))
         done, running = self._count(job_id, value["spec"]["pieces"])
         status = wire.RUNNING if running else wire.PENDING
-        self.log.debug("told %s %s, %d done: %s", job_id, status, done, self._store.told_read())
+        self.log.debug("told %s %s, %d done: %s", job_id, status, done, self._store.describe_last_read())
         return Reply(200, JobStatus(job_id, status, done, running, held=holder(value) or None))
 
     def _count(self, job_id: str, tasks: int) -> tuple[int, int]:
--- a/src/tideusher/core/decide/succession.py
+++ b/src/tideusher/core/decide/succession.py
@@ -48,7 +48,7 @@
     reads_pages: bool = False  # does it read shared placement records? An older version does not
 
 
-def succession_order(standings: Iterable[Candidate], token: int) -> list[str]:
+def succession_order(candidates: Iterable[Candidate], token: int) -> list[str]:
     """Who stands first, second, ...: the same on all nodes that know the same. A tie is settled by the token.
 
     A node that is cut off from the state service is not in it.
@@ -59,7 +59,7 @@
         slow = one.lag_us > SLOW_US
         return one.rests, one.deaf, slow, cold, crc32(f"{token}/{one.node}".encode()), one.node
 
-    return [one.node for one in sorted((one for one in standings if one.in_contact), key=place)]
+    return [one.node for one in sorted((one for one in candidates if one.in_contact), key=place)]
 
 
 def election_delay_us(ours: Candidate, others: Sequence[Candidate], token: int) -> int:
--- a/src/tideusher/core/model/contacts.py
+++ b/src/tideusher/core/model/contacts.py
@@ -92,9 +92,9 @@
 class WorkerContacts:
     """What all controllers hear, as far as they told us."""
 
-    def __init__(self, own: LocalContacts, speaks: Callable[[str], bool] = lambda node: True) -> None:
+    def __init__(self, own: LocalContacts, is_connected: Callable[[str], bool] = lambda node: True) -> None:
         self.own = own
-        self._speaks = speaks  # is this other controller heard by us right now?
+        self._speaks = is_connected  # is this other controller heard by us right now?
         self._tables: dict[str, _Table] = {}
 
     def told(self, node: str, lines: Iterable[Seen], now_us: int) -> None:
--- a/src/tideusher/node.py
+++ b/src/tideusher/node.py
@@ -55,9 +55,9 @@
         self.leader = Leader(config, policy, self._clock, self.store, self.election, self.cloud, self.metrics)
         self.own = LocalContacts(to_us(config.settings.workers.report_s))
         self.peers = Peers(config, self._clock, self._hello, self._answer_hello, self._told)
-        self.contacts = WorkerContacts(self.own, self.peers.speaks)
-        self.leader.hear_sightings(self.contacts)
-        self.election.set_sources(self._standing, self.peers.standings, lambda token: self.leader.tell("tick"))
+        self.contacts = WorkerContacts(self.own, self.peers.is_connected)
+        self.leader.set_contacts(self.contacts)
+        self.election.set_sources(self._standing, self.peers.candidates, lambda token: self.leader.tell("tick"))
         self.store.hear_demands(self.peers.demands)
         #: What is on a machine longer than that after its cancellation broke the rule already.
         settings = config.settings
@@ -69,8 +69,8 @@
         self.leader.hear_deaf(self._deaf_zones)
         self.users = Users(config, self._clock, self.store, policy.jobs__conditions, profile, self.metrics)
         self.users.on_cancelled = lambda job_id: self.leader.tell("cancelled_here", job_id)
-        self.leader.hear_readers(self.peers.reads)
-        self.leader.hear_standings(self.peers.standings)
+        self.leader.set_reachability(self.peers.reads)
+        self.leader.hear_standings(self.peers.candidates)
         questions = Questions(config, self.store, self.election, self.leader, self.peers)
         self.web = Web(
             config.bind,
--- a/src/tideusher/scale/cloud.py
+++ b/src/tideusher/scale/cloud.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from tideusher.actors.store import Bucket
+from tideusher.actors.store import TokenBucket
 from tideusher.clock import Clock, to_s, to_us
 from tideusher.scale.layout import Layout
 from tideusher.scale.settings import ScaleSettings
@@ -43,7 +43,7 @@
         self._in_zone: Counter[str] = Counter()
         self._lost_until_us: dict[str, int] = {}
         self._last = 0
-        self._calls = Bucket(settings.cloud.rps, clock, settings.cloud.rps * _BURST_S)
+        self._calls = TokenBucket(settings.cloud.rps, clock, settings.cloud.rps * _BURST_S)
         self._lists: deque[tuple[int, list[cloud.Listed]]] = (
             deque()
         )  # what lists will show, by the time they describe
--- a/src/tideusher/scale/state_service.py
+++ b/src/tideusher/scale/state_service.py
@@ -12,7 +12,7 @@
 from gevent.pywsgi import WSGIServer
 
 from tideusher.actors.handler import Handler
-from tideusher.actors.store import Bucket
+from tideusher.actors.store import TokenBucket
 from tideusher.clock import Clock, to_s
 from tideusher.config import split_address
 from tideusher.core.model import keys
@@ -49,7 +49,7 @@
         self._controller_at = controller_at
         super().__init__(clock, StateStandIn(round(limits.value_kb * 1024)))
         self._limits = limits
-        self._requests, self._changes = Bucket(limits.rps, clock), Bucket(limits.write_rps, clock)
+        self._requests, self._changes = TokenBucket(limits.rps, clock), TokenBucket(limits.write_rps, clock)
         self._changed = Event()
         self._first_kept = 0  # changes up to this revision are no more in the log
         self.counts: Counter[str] = Counter()
@@ -221,7 +221,7 @@
         self.on_leader(leader[0]["node"] if leader is not None else "")
 
 
-def _take(bucket: Bucket, amount: float) -> bool:
+def _take(bucket: TokenBucket, amount: float) -> bool:
     """Is there so much left? What is refused is given back."""
     if bucket.wait_s(amount):
         bucket.give_back(amount)
--- a/src/tideusher/web.py
+++ b/src/tideusher/web.py
@@ -122,7 +122,7 @@
     def _through_peer(self, method: str, path: str, body: bytes) -> Reply | None:
         """What we cannot decide, a peer that reaches the state service may: any node may answer."""
         try:
-            answer = self._peers.pass_on(method, path, body.decode())
+            answer = self._peers.forward_request(method, path, body.decode())
         except UnicodeDecodeError:
             return None
         if answer is None or answer.status not in REASONS:
