--- a/src/tideusher/actors/cloud.py
+++ b/src/tideusher/actors/cloud.py
@@ -73,7 +73,7 @@
 
     def request_return(self, names: list[str]) -> list[str] | None:
         """The names, once the cloud has confirmed that they are gone."""
-        status, body = self._client.call("POST", "/rentals/return", cloud.encode(cloud.Rented(names)))
+        status, body = self._client.call("POST", "/rentals/return", cloud.encode(cloud.MachineNames(names)))
         if status == 200:
             return names
         if status == 429:
@@ -86,13 +86,13 @@
         status, body = self._client.call("GET", "/machine_types")
         return cloud.decode_types(body).types if status == 200 else None
 
-    def machines(self) -> list[cloud.Listed] | None:
+    def machines(self) -> list[cloud.ListedMachine] | None:
         """The whole list, page by page; None if any page failed."""
-        found: list[cloud.Listed] = []
+        found: list[cloud.ListedMachine] = []
         since = ""
         while True:
             after = f"since={since}&" if since else ""
-            status, body = self._client.call("GET", f"/rentals?{after}most={cloud.MAX_LIST}")
+            status, body = self._client.call("GET", f"/rentals?{after}most={cloud.MAX_MACHINES_PER_PAGE}")
             if status != 200:
                 return None
             page = cloud.decode_list(body)
--- a/src/tideusher/actors/gateway.py
+++ b/src/tideusher/actors/gateway.py
@@ -72,7 +72,7 @@
     def handle(self, body: bytes) -> Answer:
         """Answer one report. One that is passed on is read as far as that needs; the leader reads it whole."""
         try:
-            return self._handle(workers.decode_head(body), body)
+            return self._handle(workers.decode_report_head(body), body)
         except (msgspec.DecodeError, RecursionError) as error:
             self.log.error("refused a report: %s", error)
             return Answer(400, b'{"error":"malformed report"}')
--- a/src/tideusher/actors/leader.py
+++ b/src/tideusher/actors/leader.py
@@ -37,7 +37,7 @@
 from tideusher.metrics import Metrics
 from tideusher.wire import cloud as cloud_wire
 from tideusher.wire import workers
-from tideusher.wire.peers import Soft
+from tideusher.wire.peers import SoftState
 
 TICK_US = 150_000
 #: The cloud's list is asked for this often while it may tell of a fall that nothing else tells of.
@@ -84,7 +84,7 @@
         self._standings: Callable[[], list[Candidate]] = list
         self._contacts = WorkerContacts(LocalContacts(to_us(config.settings.workers.report_s)))
         self._told: ReceivedSoftState | None = None  # what the last leader told that no record holds
-        self._soft: Soft | None = None  # what we tell as a leader, made anew twice a second
+        self._soft: SoftState | None = None  # what we tell as a leader, made anew twice a second
         self._soft_us = 0
         self._tokens: list[int] = []  # of the last two leaderships
         self._terms = 0  # how many engines this process has had
@@ -131,11 +131,11 @@
         """Where to ask which workers each controller hears."""
         self._contacts = contacts
 
-    def hear_soft(self, soft: Soft) -> None:
+    def hear_soft(self, soft: SoftState) -> None:
         """A leader told what no record holds."""
         self._told = newer(self._told, soft, self._clock.now_us())
 
-    def soft(self) -> Soft | None:
+    def soft(self) -> SoftState | None:
         """What we tell our standbys; None: we do not lead."""
         engine, now_us = self._engine, self._clock.now_us()
         if engine is None:
@@ -361,7 +361,7 @@
         self._loading = False
         if token <= self._last_token:
             # The election sees to that (`Election._leads`); whatever else might lead here again does not.
-            self._invariants.broken(Rule.ONE_TERM, f"token {token} again, after engine {self._terms} led with it")
+            self._invariants.violated(Rule.ONE_TERM, f"token {token} again, after engine {self._terms} led with it")
             self._election.end_term()
             return
         self._terms, self._last_token = self._terms + 1, token
@@ -487,7 +487,7 @@
         if self._cluster is not None and self._cluster.token == token and types:
             self._cluster.set_types(types)
 
-    def on_listed(self, token: int, listing: list[cloud_wire.Listed] | None) -> None:
+    def on_listed(self, token: int, listing: list[cloud_wire.ListedMachine] | None) -> None:
         """The cloud's list of machines."""
         engine = self._engine
         if engine is not None and engine.token == token and listing is not None:
@@ -525,8 +525,8 @@
         token, orders = engine.token, engine.orders()
         for rental in orders.rent:
             self._rent(token, rental)
-        for first in range(0, len(orders.request_return), cloud_wire.MAX_RETURN):
-            self._give_back(token, orders.request_return[first : first + cloud_wire.MAX_RETURN])
+        for first in range(0, len(orders.request_return), cloud_wire.MAX_MACHINES_PER_RETURN):
+            self._give_back(token, orders.request_return[first : first + cloud_wire.MAX_MACHINES_PER_RETURN])
         for machine, commands in orders.direct.items():
             # One that has yet to report to us has an address if another controller hears it, or the cloud lists it.
             if machine.address and machine.phase != RETURNING:
--- a/src/tideusher/actors/peers.py
+++ b/src/tideusher/actors/peers.py
@@ -182,7 +182,7 @@
             gevent.sleep(HEARTBEAT_S)
 
     def _read(self, sock: socket.socket) -> None:
-        unframer = wire.Unframer()
+        unframer = wire.MessageDecoder()
         while True:
             with gevent.Timeout(4.0):
                 data = sock.recv(65536)
@@ -304,7 +304,7 @@
 
     def _serve(self, sock: socket.socket, address: tuple[str, int]) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        unframer, outbox = wire.Unframer(), Outbox(sock)
+        unframer, outbox = wire.MessageDecoder(), Outbox(sock)
         try:
             while True:
                 with gevent.Timeout(6.0):
--- a/src/tideusher/actors/scripts.py
+++ b/src/tideusher/actors/scripts.py
@@ -17,10 +17,10 @@
 from tideusher.core.model import keys
 from tideusher.pbs import Refusal, read_script, translate
 from tideusher.pbs.ids import pbs_id
-from tideusher.pbs.storage import Damaged, TooLong, decompress_text, pack
+from tideusher.pbs.storage import Damaged, ScriptTooLarge, decompress_text, pack
 from tideusher.wire import jobs as wire
 from tideusher.wire import state
-from tideusher.wire.scripts import KeptScript, ScriptRequest, ScriptTaken
+from tideusher.wire.scripts import ScriptAccepted, ScriptRequest, StoredScript
 from tideusher.wire.state import Put
 
 if TYPE_CHECKING:
@@ -81,7 +81,7 @@
             script = read_script(text, request.file, request.options)
             submission = translate(script, self._profile, request.ref, now, request.environment)
             values = pack(submission.run, text, self._value_bytes, self._most_values)
-        except (Refusal, TooLong, Damaged, UnicodeEncodeError) as error:
+        except (Refusal, ScriptTooLarge, Damaged, UnicodeEncodeError) as error:
             reason = f"{request.file}:0: {error}" if not isinstance(error, Refusal) else str(error)
             self._users.log.info("refused a script: %s", reason)
             return self._users.known_ref(body) or refusal(400, reason)
@@ -90,7 +90,7 @@
         reply = self._users.accept(spec, parts)
         if reply.status == 201:
             name = pbs_id(spec.id, array=spec.array is not None)
-            reply = Reply(201, ScriptTaken(spec.id, wire.PENDING, name, submission.waived, submission.notes))
+            reply = Reply(201, ScriptAccepted(spec.id, wire.PENDING, name, submission.waived, submission.notes))
         return reply
 
     def fetch(self, job_id: str) -> Reply:
@@ -103,4 +103,4 @@
         if not items:
             return refusal(404, "no script is kept for this job")
         items.sort(key=lambda item: keys.script_number(item.key))
-        return Reply(200, KeptScript(job_id, "".join(item.value["z"] for item in items)))
+        return Reply(200, StoredScript(job_id, "".join(item.value["z"] for item in items)))
--- a/src/tideusher/actors/store.py
+++ b/src/tideusher/actors/store.py
@@ -279,7 +279,7 @@
                 self._queued -= len(writes) if ours else 0
         status, answer = self._post_txn(state.Txn(guards, writes), budget)
         if status == 200:
-            revision = _decoded(state.decode_done, answer).revision
+            revision = _decoded(state.decode_txn_done, answer).revision
             for write in writes:
                 if isinstance(write, state.Put):
                     self._apply(write.key, {} if write.value is NULL else write.value, revision)
@@ -287,7 +287,7 @@
                     self._apply(write.key, None, revision)
             return revision
         if status == 409:
-            raise Conflict(_decoded(state.decode_failed, answer).failed)
+            raise Conflict(_decoded(state.decode_txn_failed, answer).failed)
         if b"no such lease" in answer:
             raise NoLease
         raise Unavailable(f"POST /txn: {status} {answer[:200]!r}")
--- a/src/tideusher/cli_pbs.py
+++ b/src/tideusher/cli_pbs.py
@@ -99,7 +99,7 @@
     from datetime import datetime
 
     from tideusher.pbs.ids import job_of, pbs_id
-    from tideusher.pbs.storage import squeeze
+    from tideusher.pbs.storage import compress_text
     from tideusher.wire.scripts import ScriptRequest
 
     script, options = _read(words)
@@ -107,7 +107,7 @@
     request = ScriptRequest(
         ref or job_of(10 ** (REF_DIGITS - 1) + secrets.randbelow(9 * 10 ** (REF_DIGITS - 1))),
         script.file,
-        packed=squeeze(script.text),
+        packed=compress_text(script.text),
         options=options,
         utc_offset_s=int(offset.total_seconds()) if offset else 0,
         environment=_environment(script),
--- a/src/tideusher/cli_scale.py
+++ b/src/tideusher/cli_scale.py
@@ -71,7 +71,7 @@
     except ImportError as error:
         fail(f"{error.name} is not installed: pip install -r requirements-scale.txt", 2)
     from tideusher.scale.errors import ScaleError
-    from tideusher.scale.soak_report import summary, told
+    from tideusher.scale.soak_report import outcome_lines, summary
 
     for number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(number, _interrupt)
@@ -82,7 +82,7 @@
             module.parse_seeds(seeds), out.resolve(), 60.0 * minutes, workers, parallel, tree, quiet, not untimed,
             module.read_known(known) if known is not None else (),
         )  # fmt: skip
-        outcomes = module.play(asked, lambda outcome: click.echo("\n".join(told(outcome))))
+        outcomes = module.play(asked, lambda outcome: click.echo("\n".join(outcome_lines(outcome))))
     except ScaleError as error:
         fail(error, 2)
     except KeyboardInterrupt:
--- a/src/tideusher/client.py
+++ b/src/tideusher/client.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from tideusher.wire.jobs import JobSpec, JobStatus
-from tideusher.wire.scripts import KeptScript, ScriptRequest, ScriptTaken
+from tideusher.wire.scripts import ScriptAccepted, ScriptRequest, StoredScript
 
 if TYPE_CHECKING:
     from tideusher.pbs import Profile
@@ -57,14 +57,14 @@
         body = msgspec.json.encode({"pieces": tasks})
         return msgspec.json.decode(self._call("POST", f"/work/{job}/shrink", body), type=JobStatus)
 
-    def submit_script(self, request: ScriptRequest) -> ScriptTaken:
+    def submit_script(self, request: ScriptRequest) -> ScriptAccepted:
         """Submit a PBS script; one that is known by its ref already gives that job's state."""
         from tideusher.pbs.ids import pbs_id
 
         taken: dict[str, Any] = msgspec.json.decode(
             self._call("POST", "/pbs", msgspec.json.encode(request)), type=dict
         )
-        return msgspec.convert({"id": pbs_id(request.ref), **taken}, ScriptTaken)
+        return msgspec.convert({"id": pbs_id(request.ref), **taken}, ScriptAccepted)
 
     def profile(self) -> "Profile":
         """What the service adds to PBS scripts."""
@@ -76,7 +76,7 @@
         """How to run the job's script, and its text as it was submitted."""
         from tideusher.pbs.storage import Damaged, unpack
 
-        kept: KeptScript = msgspec.json.decode(self._call("GET", f"/work/{job}/script"), type=KeptScript)
+        kept: StoredScript = msgspec.json.decode(self._call("GET", f"/work/{job}/script"), type=StoredScript)
         try:
             return unpack([{"z": kept.packed}])
         except Damaged as error:
--- a/src/tideusher/config.py
+++ b/src/tideusher/config.py
@@ -77,7 +77,7 @@
     list_lag_s: float
 
 
-class Resources(msgspec.Struct):
+class ProcessResources(msgspec.Struct):
     """What the platform grants this process."""
 
     cores: float = 1.0
@@ -85,7 +85,7 @@
     max_sockets: int = 1000
 
 
-class Site(msgspec.Struct):
+class DeploymentSettings(msgspec.Struct):
     """The `settings` table."""
 
     size: int
@@ -96,7 +96,7 @@
     teams: list[Team] = []
     objectives: list[Objective] = []
     clock_off_ms: float = 0.0
-    resources: Resources = msgspec.field(default_factory=Resources)
+    resources: ProcessResources = msgspec.field(default_factory=ProcessResources)
 
 
 class Config(msgspec.Struct):
@@ -107,7 +107,7 @@
     bind: str = ""
     peer_bind: str = msgspec.field(name="cluster_listen", default="")
     endpoints: Endpoints = msgspec.field(default_factory=lambda: Endpoints("", ""))
-    settings: Site = msgspec.field(default_factory=lambda: Site(0, [], *[None] * 3))  # type: ignore[arg-type]
+    settings: DeploymentSettings = msgspec.field(default_factory=lambda: DeploymentSettings(0, [], *[None] * 3))  # type: ignore[arg-type]
     peers: list[Peer] = []
 
 
@@ -196,17 +196,17 @@
         return to_us(min(wanted, self.min_run__cap_s))
 
 
-class Settings(NamedTuple):
+class OperatorSettings(NamedTuple):
     """All that a properties file holds."""
 
     policy: Policy
     profile: "Profile | None" = None  # None: PBS scripts are not taken
 
 
-def load_settings(path: str | None) -> Settings:
+def load_settings(path: str | None) -> OperatorSettings:
     """Read the operators' properties; a name we do not know is refused, it is likely a slip."""
     if path is None:
-        return Settings(Policy())
+        return OperatorSettings(Policy())
     values, lines = _read_properties(path)
     ours = {name: value for name, value in values.items() if not name.startswith("pbs.")}
     profile = None
@@ -224,7 +224,7 @@
     except msgspec.ValidationError as error:
         names = re.findall(r"`(?:\$\.)?([^`]+)`", str(error))
         raise ConfigError(f"{path}{_at(names[-1] if names else '', lines)}: {error}") from None
-    return Settings(policy, profile)
+    return OperatorSettings(policy, profile)
 
 
 def load_policy(path: str | None) -> Policy:
--- a/src/tideusher/core/decide/recovery.py
+++ b/src/tideusher/core/decide/recovery.py
@@ -205,7 +205,7 @@
             if name not in self.mass_failures:
                 return name
             found = f"a fall {name} is there already, and token {self._c.token} would name another so"
-            self._c.invariants.broken(Rule.FALL_NAME, found)
+            self._c.invariants.violated(Rule.FALL_NAME, found)
 
     def _ask_cloud(self, machines: list[Machine]) -> None:
         for machine in machines:
--- a/src/tideusher/core/lead/cluster.py
+++ b/src/tideusher/core/lead/cluster.py
@@ -54,7 +54,7 @@
 from tideusher.invariants import Invariants, Rule
 from tideusher.metrics import Metrics
 from tideusher.wire import workers
-from tideusher.wire.cloud import FAILED, Listed, MachineType
+from tideusher.wire.cloud import FAILED, ListedMachine, MachineType
 from tideusher.wire.jobs import JobSpec
 from tideusher.wire.state import Guard
 from tideusher.wire.workers import Command, Report
@@ -556,7 +556,7 @@
             self.request_return(machine, "its return was answered before")
         return machine
 
-    def _add_unnamed(self, name: str, told: Report | Listed, rented_us: int) -> Machine:
+    def _add_unnamed(self, name: str, told: Report | ListedMachine, rented_us: int) -> Machine:
         """Keep a machine that no rental of ours names under a rental of its own."""
         rental = Rental(f"{ADOPTED}{name}", told.type, told.zone, told.spot, 1, answered=True)
         self.rentals[rental.name] = rental
@@ -652,7 +652,7 @@
         for rental in self.rental_index.forget(name):
             self.renting.settle(rental)
 
-    def listed(self, listing: list[Listed], now_us: int) -> None:
+    def listed(self, listing: list[ListedMachine], now_us: int) -> None:
         """The cloud's (lagging) list: failed machines are returned, unknown ones adopted in time."""
         self.health.listing_received(now_us)
         failed: dict[str, list[tuple[Machine, str]]] = {}
@@ -665,7 +665,7 @@
         for zone, fallen in failed.items():
             self._gone_silent(zone, fallen, len(fallen) >= MASS_FAILURE_MACHINES, now_us)
 
-    def _listed(self, item: Listed, now_us: int) -> Machine | None:
+    def _listed(self, item: ListedMachine, now_us: int) -> Machine | None:
         """What the list says of one machine; returns it if it has stopped on its own."""
         machine = self.machines.get(item.name)
         if machine is None:
@@ -740,7 +740,7 @@
                 allowed.append(machine)
                 zones[machine.zone] += 1
                 continue
-            self.invariants.broken(Rule.PLACE, f"{job.spec.id} on {describe_machine(machine)}: {why}")
+            self.invariants.violated(Rule.PLACE, f"{job.spec.id} on {describe_machine(machine)}: {why}")
             if job.is_gang:
                 return []
         return allowed
@@ -749,7 +749,7 @@
         """The machine, or the cloud, says what it is. That counts, whatever its record says."""
         if told == kind_of(machine):
             return
-        self.invariants.broken(Rule.MACHINE_KIND, f"{describe_machine(machine)} is a {told}, {whose} says")
+        self.invariants.violated(Rule.MACHINE_KIND, f"{describe_machine(machine)} is a {told}, {whose} says")
         machine.zone, machine.spot = told.zone, told.spot
         if told.type != machine.type:
             self.drain(machine, f"it is a {told.type}, not a {machine.type}")
--- a/src/tideusher/core/lead/renting.py
+++ b/src/tideusher/core/lead/renting.py
@@ -80,7 +80,7 @@
         stored = self._value_of(keys.rental_key(rental.name))
         if not stored or (_asked(stored) == _kind(rental) and rental.answered >= stored["answered"]):
             return True
-        self._invariants.broken(
+        self._invariants.violated(
             Rule.RENTAL_KIND,
             f"rental {rental.name} of token {self._c.token} is {_kind(rental)}; on record under that name is "
             f"{_asked(stored)} with {stored['machines']}",
@@ -159,7 +159,7 @@
             if name not in self._c.rentals and not self._c.knows_key(keys.rental_key(name)):
                 return name
             found = f"a rental {name} is there already, and token {self._c.token} would name another so"
-            self._invariants.broken(Rule.RENTAL_NAME, found)
+            self._invariants.violated(Rule.RENTAL_NAME, found)
 
     def asked(self) -> list[Rental]:
         """Rentals whose answer has yet to come."""
@@ -199,7 +199,7 @@
             return
         others = self._c.rental_index.rentals_with(name)
         if not others or not all(other.adopted for other in others):
-            self._invariants.broken(
+            self._invariants.violated(
                 Rule.RENTAL_MACHINES,
                 f"rental {rental.name} ({_kind(rental)}) brought {name}, which is of rental {machine.rental} "
                 f"({kind_of(machine)})",
--- a/src/tideusher/core/lead/reports.py
+++ b/src/tideusher/core/lead/reports.py
@@ -89,7 +89,7 @@
         listed: dict[tuple[str, int, int], TaskReport] = {}
         for item in report.tasks:
             try:
-                job_id, index = workers.split_task(item.task)
+                job_id, index = workers.parse_task_name(item.task)
             except ValueError:
                 self.log.error("machine %s reports a task named %r", machine.name, item.task)
                 continue
@@ -177,7 +177,7 @@
             self._c.record_stop(job, task, f"it exited: {item.cause}")
         if item.cause == workers.CAUSE_ERROR:
             self._errored(job, machine, now_us)
-        elif item.cause in (workers.CAUSE_NO_ROOM, workers.CAUSE_BUSY, workers.CAUSE_UNKNOWN):
+        elif item.cause in (workers.CAUSE_FULL, workers.CAUSE_IN_USE, workers.CAUSE_UNKNOWN):
             job.not_before_us = now_us + SECOND_US
         self._c.discard(task, now_us, kept=bool(item.kept))
         self._c.free(task, now_us)
@@ -242,7 +242,7 @@
             return True
         if why not in MAY_CHANGE:
             found = f"{task.name} attempt {task.attempt} on {describe_machine(task.machine)}: {why}"
-            self._c.invariants.broken(Rule.START, found)
+            self._c.invariants.violated(Rule.START, found)
         self._c.metrics.count("starts_withheld", why.name.lower())
         self._c.lost(task, f"it may not start there: {why}", task.placed_us)
         return False
--- a/src/tideusher/core/lead/soft_state.py
+++ b/src/tideusher/core/lead/soft_state.py
@@ -10,7 +10,7 @@
 from tideusher.clock import SECOND_US
 from tideusher.core.lead.engine import Engine
 from tideusher.core.model.contacts import WorkerContacts
-from tideusher.wire.peers import Failing, Refused, Reserved, Soft
+from tideusher.wire.peers import CapacityRefusal, FailingJob, MachineReservation, SoftState
 
 #: Of each kind so many are told, the ones that weigh most.
 MOST = 48
@@ -18,23 +18,27 @@
 MOST_AGE_US = 20 * SECOND_US
 
 
-def collect(engine: Engine, now_us: int) -> Soft:
+def collect(engine: Engine, now_us: int) -> SoftState:
     """All that the next leader could not read anywhere."""
     cluster = engine.cluster
     reserved = [
-        Reserved(machine.name, machine.reserved, (machine.reserved_until_us - now_us) // 1000)
+        MachineReservation(machine.name, machine.reserved, (machine.reserved_until_us - now_us) // 1000)
         for machine in cluster.machines.values()
         if machine.reserved and machine.reserved_until_us > now_us
     ]
     failing = [
-        Failing(job.spec.id, job.failures, max(0, job.not_before_us - now_us) // 1000, sorted(job.error_machines)[:8])
+        FailingJob(
+            job.spec.id, job.failures, max(0, job.not_before_us - now_us) // 1000, sorted(job.error_machines)[:8]
+        )
         for job in cluster.active.values()
         if job.error_machines
     ]
     failing.sort(key=lambda one: (-one.failures, one.job))
-    return Soft(
+    return SoftState(
         engine.token,
-        [Refused(*kind, left_us // 1000, times) for kind, left_us, times in cluster.fleet.refusals(now_us)][:MOST],
+        [CapacityRefusal(*kind, left_us // 1000, times) for kind, left_us, times in cluster.fleet.refusals(now_us)][
+            :MOST
+        ],
         reserved[:MOST],
         failing[:MOST],
     )
@@ -44,11 +48,11 @@
 class ReceivedSoftState:
     """Soft facts as they came, and when."""
 
-    soft: Soft
+    soft: SoftState
     at_us: int
 
 
-def newer(old: ReceivedSoftState | None, soft: Soft, now_us: int) -> ReceivedSoftState:
+def newer(old: ReceivedSoftState | None, soft: SoftState, now_us: int) -> ReceivedSoftState:
     """Which to keep: never what an older leader tells after a newer one, whenever it wakes."""
     return old if old is not None and soft.token < old.soft.token else ReceivedSoftState(soft, now_us)
 
--- a/src/tideusher/core/model/contacts.py
+++ b/src/tideusher/core/model/contacts.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from tideusher.clock import SECOND_US
-from tideusher.wire.peers import Seen
+from tideusher.wire.peers import ReportedContact
 
 #: So many lines leave with one heartbeat; more wait for the next.
 MAX_LINES_PER_HEARTBEAT = 200
@@ -50,7 +50,7 @@
         self._lines += 1
         return self._lines
 
-    def news(self, since: int, now_us: int) -> tuple[list[Seen], int]:
+    def news(self, since: int, now_us: int) -> tuple[list[ReportedContact], int]:
         """What changed after line `since`, oldest first and bounded, and the line up to which that goes."""
         for name, worker in list(self._workers.items()):
             age_us = now_us - worker.last_us
@@ -63,7 +63,7 @@
         for line, name in changed[:MAX_LINES_PER_HEARTBEAT]:
             worker, since = self._workers[name], line
             silent_ms = max(1, (now_us - worker.last_us) // 1000) if worker.silent else 0
-            lines.append(Seen(name, worker.address, silent_ms))
+            lines.append(ReportedContact(name, worker.address, silent_ms))
         return lines, since
 
     def process_paused(self, for_us: int, now_us: int) -> None:
@@ -97,7 +97,7 @@
         self._speaks = is_connected  # is this other controller heard by us right now?
         self._tables: dict[str, _Table] = {}
 
-    def told(self, node: str, lines: Iterable[Seen], now_us: int) -> None:
+    def told(self, node: str, lines: Iterable[ReportedContact], now_us: int) -> None:
         """A heartbeat of another controller came, with what changed there."""
         table = self._tables.setdefault(node, _Table())
         table.told_us = now_us
--- a/src/tideusher/embed/machines.py
+++ b/src/tideusher/embed/machines.py
@@ -82,7 +82,7 @@
         """Take commands; returns what is to be started and what is to be stopped by the program."""
         started, stopped = [], []
         for command in commands:
-            job, index = workers.split_task(command.task)
+            job, index = workers.parse_task_name(command.task)
             task = self._tasks.get((job, index))
             if command.op == "run" and task is None:
                 spec = self._spec_of(job)
--- a/src/tideusher/embed/settings.py
+++ b/src/tideusher/embed/settings.py
@@ -8,8 +8,8 @@
     CloudSettings,
     Config,
     ConfigError,
+    DeploymentSettings,
     Endpoints,
-    Site,
     StateSettings,
     Team,
     WorkerSettings,
@@ -65,7 +65,7 @@
 
     def config(self) -> Config:
         """The engine's settings: no outside service, no limit of writes but the size of a transaction."""
-        site = Site(
+        site = DeploymentSettings(
             size=1,
             zones=sorted({one.zone for one in self.machines}),
             workers=WorkerSettings(REPORT_S, 10.0, 30.0, 5.0, 30.0),
--- a/src/tideusher/invariants.py
+++ b/src/tideusher/invariants.py
@@ -9,7 +9,7 @@
 
 from tideusher.metrics import Metrics
 
-LOGGER = "invariants"
+LOGGER_NAME = "invariants"
 
 
 class Rule(StrEnum):
@@ -29,9 +29,9 @@
     """Counts and logs breaches."""
 
     def __init__(self, metrics: Metrics) -> None:
-        self._metrics, self._log = metrics, logging.getLogger(LOGGER)
+        self._metrics, self._log = metrics, logging.getLogger(LOGGER_NAME)
 
-    def broken(self, rule: Rule, found: str) -> None:
+    def violated(self, rule: Rule, found: str) -> None:
         """A breach; `found` says what stands against what."""
         self._metrics.count("invariant_violations", rule.value)
         self._log.error("%s: %s", rule.value, found)
--- a/src/tideusher/metrics.py
+++ b/src/tideusher/metrics.py
@@ -20,7 +20,7 @@
         self.counts: dict[tuple[str, str], float] = defaultdict(float)
         self.gauges: dict[str, float] = {}
         #: Gauges with a label, made anew for each scrape.
-        self.labelled: dict[tuple[str, str], float] = {}
+        self.labelled_gauges: dict[tuple[str, str], float] = {}
         self._waits: deque[tuple[str, float]] = deque(maxlen=MAX_KEPT)
         self._runs: deque[tuple[str, float]] = deque(maxlen=MAX_KEPT)
         self._detected: deque[tuple[str, float]] = deque(maxlen=MAX_KEPT)
@@ -49,7 +49,7 @@
         """A task completed after running so long."""
         self._runs.append((job_class, seconds))
 
-    def detected(self, zone: str, seconds: float) -> None:
+    def observe_mass_failure_detection(self, zone: str, seconds: float) -> None:
         """A fall became known so long after the first of its machines was last heard."""
         self._detected.append((zone, seconds))
 
@@ -98,7 +98,7 @@
     def collect(self):  # type: ignore[no-untyped-def]
         """Called by the registry."""
         yield from self._families(self._counter, self._metrics.counts)
-        yield from self._families(self._gauge, self._metrics.labelled)
+        yield from self._families(self._gauge, self._metrics.labelled_gauges)
         for name, value in sorted(self._metrics.gauges.items()):
             yield self._gauge(f"tideusher_{name}", name.replace("_", " "), value=value)
 
--- a/src/tideusher/node.py
+++ b/src/tideusher/node.py
@@ -185,7 +185,7 @@
         self.metrics.gauges["timer_lag_seconds"] = to_s(ours.lag_us)
         self.metrics.gauges["leader_lost"] = float(ours.lost != 0)
         self.metrics.gauges["mirrored_keys"] = float(len(self.store.mirror))
-        self.metrics.labelled = self.leader.oldest_waits()
+        self.metrics.labelled_gauges = self.leader.oldest_waits()
         return self.metrics.text()
 
     def _answer(self, message: peer_wire.Message) -> peer_wire.Message | None:
--- a/src/tideusher/pbs/storage.py
+++ b/src/tideusher/pbs/storage.py
@@ -19,7 +19,7 @@
 LEVEL = 9
 
 
-class TooLong(ValueError):
+class ScriptTooLarge(ValueError):
     """The script does not fit; the message has its size and the room."""
 
 
@@ -27,7 +27,7 @@
     """What is kept is not what `pack` made."""
 
 
-def squeeze(data: bytes) -> str:
+def compress_text(data: bytes) -> str:
     """Compressed, as text for JSON."""
     import zstandard
 
@@ -35,7 +35,7 @@
 
 
 def decompress_text(text: str, most: int = MAX_SCRIPT) -> bytes:
-    """The inverse of `squeeze`, at most so many bytes whatever the frame says; raises Damaged."""
+    """The inverse of `compress_text`, at most so many bytes whatever the frame says; raises Damaged."""
     import zstandard
 
     try:
@@ -53,11 +53,11 @@
 
     `value_bytes`: the state service's limit of a value; `most_values`: how many the acceptance may write.
     """
-    packed = squeeze(msgspec.json.encode(run) + b"\n" + text)
+    packed = compress_text(msgspec.json.encode(run) + b"\n" + text)
     size = value_bytes - ROOM_OF_VALUE
     room = min(size * most_values, MAX_TXN - ROOM_OF_JOB)
     if len(packed) > room:
-        raise TooLong(f"the script has {len(text)} bytes, packed {len(packed)}; {room} can be kept with a job")
+        raise ScriptTooLarge(f"the script has {len(text)} bytes, packed {len(packed)}; {room} can be kept with a job")
     return [{"z": packed[at : at + size]} for at in range(0, len(packed), size)]
 
 
--- a/src/tideusher/playground/servers.py
+++ b/src/tideusher/playground/servers.py
@@ -150,7 +150,7 @@
         if path == "/machine_types":
             return cloud.MachineTypes([TYPE])
         if path == "/rentals/return":
-            returned: cloud.Rented = msgspec.json.decode(body, type=cloud.Rented)
+            returned: cloud.MachineNames = msgspec.json.decode(body, type=cloud.MachineNames)
             for name in returned.machines:
                 worker = self._workers.pop(name, None)
                 if worker is not None:
@@ -166,9 +166,9 @@
                     worker = WorkerStandIn(name, request.zone, request.spot, self._specs, lease_s=10.0)
                     self._workers[name] = worker
                     gevent.spawn_later(TYPE.boot_s, self._live, worker)
-            return cloud.Rented(self._charters[request.name])
+            return cloud.MachineNames(self._charters[request.name])
         listed = [
-            cloud.Listed(w.name, "127.0.0.1:9", TYPE.name, w.zone, w.spot, "running", 0.0)
+            cloud.ListedMachine(w.name, "127.0.0.1:9", TYPE.name, w.zone, w.spot, "running", 0.0)
             for w in self._workers.values()
         ]
         return cloud.MachineList(listed)
--- a/src/tideusher/scale/cloud.py
+++ b/src/tideusher/scale/cloud.py
@@ -44,7 +44,7 @@
         self._lost_until_us: dict[str, int] = {}
         self._last = 0
         self._calls = TokenBucket(settings.cloud.rps, clock, settings.cloud.rps * _BURST_S)
-        self._lists: deque[tuple[int, list[cloud.Listed]]] = (
+        self._lists: deque[tuple[int, list[cloud.ListedMachine]]] = (
             deque()
         )  # what lists will show, by the time they describe
         self.counts: Counter[str] = Counter()
@@ -64,7 +64,7 @@
         if request.name in self._charters:
             return []
         rented: list[Rental] = []
-        while len(rented) < min(request.count, cloud.MAX_RENT) and self._has_room(request.zone):
+        while len(rented) < min(request.count, cloud.MAX_MACHINES_PER_RENTAL) and self._has_room(request.zone):
             rented.append(self._add(request))
         if not rented:
             self.counts["no capacity"] += 1
@@ -90,7 +90,7 @@
             self._lists.popleft()
         ready = self._lists and self._lists[0][0] <= self._clock.now_us() - lag_us
         listed = [one for one in (self._lists[0][1] if ready else []) if one.name > since]
-        most = min(most, cloud.MAX_LIST)
+        most = min(most, cloud.MAX_MACHINES_PER_PAGE)
         return cloud.MachineList(listed[:most], len(listed) > most)
 
     def describe(self) -> None:
@@ -159,10 +159,10 @@
         self._living[one.process] -= 1
         self._in_zone[one.zone] -= 1
 
-    def _listed(self, one: Rental, now_us: int) -> cloud.Listed:
+    def _listed(self, one: Rental, now_us: int) -> cloud.ListedMachine:
         status = cloud.FAILED if one.failed else cloud.UP if one.up else cloud.BOOTING
         held_s = to_s(now_us - one.rented_us)
-        return cloud.Listed(one.name, one.address, self._kind.name, one.zone, one.spot, status, held_s)
+        return cloud.ListedMachine(one.name, one.address, self._kind.name, one.zone, one.spot, status, held_s)
 
 
 def parse_rent(body: bytes) -> cloud.RentRequest:
@@ -173,5 +173,5 @@
 
 def parse_names(body: bytes) -> list[str]:
     """The names in a return request."""
-    returned: Any = msgspec.json.decode(body, type=cloud.Rented)
+    returned: Any = msgspec.json.decode(body, type=cloud.MachineNames)
     return list(returned.machines)
--- a/src/tideusher/scale/coordinator.py
+++ b/src/tideusher/scale/coordinator.py
@@ -258,9 +258,9 @@
             for one in rented:
                 boot_s = self._settings.machine.boot_s * (0.8 + 0.4 * self._rng.random())
                 gevent.spawn_later(boot_s, self._boot, one)
-            return "200 OK", cloud_wire.Rented(self._cloud.charter(request.name))
+            return "200 OK", cloud_wire.MachineNames(self._cloud.charter(request.name))
         asked = parse_qs(query)
-        most = int(asked.get("most", [str(cloud_wire.MAX_LIST)])[0])
+        most = int(asked.get("most", [str(cloud_wire.MAX_MACHINES_PER_PAGE)])[0])
         return "200 OK", self._cloud.page(asked.get("since", [""])[0], most)
 
     def _boot(self, one: Rental) -> None:
--- a/src/tideusher/scale/endpoint.py
+++ b/src/tideusher/scale/endpoint.py
@@ -9,7 +9,7 @@
 from gevent import socket
 
 from tideusher.config import split_address
-from tideusher.scale.messages import Counted, Finish, HubMessage, Message, Ready, Unframer, frame
+from tideusher.scale.messages import Counted, Finish, HubMessage, Message, MessageDecoder, Ready, frame
 
 _RECEIVE_BYTES = 1 << 16
 
@@ -40,7 +40,7 @@
 
     def serve(self, handle: Callable[[Message], None], counted: Callable[[], Counted]) -> None:
         """Say that this process is ready, and handle what the hub says until it says that the run is over."""
-        unframer = Unframer()
+        unframer = MessageDecoder()
         self.send(Ready(self._name))
         while True:
             data = self._socket.recv(_RECEIVE_BYTES)
--- a/src/tideusher/scale/hub.py
+++ b/src/tideusher/scale/hub.py
@@ -9,7 +9,7 @@
 from gevent.server import StreamServer
 
 from tideusher.config import split_address
-from tideusher.scale.messages import Counted, HubMessage, Message, Ready, Unframer, frame
+from tideusher.scale.messages import Counted, HubMessage, Message, MessageDecoder, Ready, frame
 from tideusher.wire.netstrings import FrameError
 
 _RECEIVE_BYTES = 1 << 16
@@ -58,7 +58,7 @@
 
     def _serve(self, connection: socket.socket, _address: object) -> None:
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        unframer, name = Unframer(), ""
+        unframer, name = MessageDecoder(), ""
         try:
             while data := connection.recv(_RECEIVE_BYTES):
                 for message in unframer.feed(data):
--- a/src/tideusher/scale/machine.py
+++ b/src/tideusher/scale/machine.py
@@ -15,10 +15,10 @@
 from tideusher.wire.jobs import GANG, SERVICE, JobSpec
 from tideusher.wire.workers import (
     ACTIVE,
-    CAUSE_BUSY,
     CAUSE_DONE,
+    CAUSE_FULL,
+    CAUSE_IN_USE,
     CAUSE_INCOMPLETE,
-    CAUSE_NO_ROOM,
     CAUSE_PEERS,
     CAUSE_STOPPED,
     CAUSE_UNKNOWN,
@@ -31,7 +31,7 @@
     DirectCommands,
     Report,
     TaskReport,
-    split_task,
+    parse_task_name,
 )
 
 #: Not of the protocol: the machine is gone, or its lease ran out.
@@ -236,7 +236,7 @@
 
     def _execute(self, command: Command, now_us: int) -> None:
         try:
-            job, index = split_task(command.task)
+            job, index = parse_task_name(command.task)
         except ValueError:
             return
         task = self.tasks.get((job, index, command.attempt))
@@ -271,14 +271,14 @@
             return CAUSE_UNKNOWN
         live = [other for other in self.tasks.values() if other.takes_room]
         if any((other.job, other.index) == (task.job, task.index) for other in live):
-            return CAUSE_BUSY
+            return CAUSE_IN_USE
         used = [other.spec for other in live if other.spec is not None] + [task.spec]
         if (
             sum(spec.cpus for spec in used) > self.kind.cpus + 1e-9
             or sum(spec.gpus for spec in used) > self.kind.gpus + 1e-9
             or sum(spec.ram_gb for spec in used) > self.kind.ram_gb + 1e-9
         ):
-            return CAUSE_NO_ROOM
+            return CAUSE_FULL
         return None
 
     def _halt(self, task: HollowTask, grace_s: float, now_us: int) -> None:
--- a/src/tideusher/scale/messages.py
+++ b/src/tideusher/scale/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from tideusher.wire.netstrings import Frames, frame_body
+from tideusher.wire.netstrings import FrameDecoder, encode_frame
 
 
 class HubMessage(msgspec.Struct, omit_defaults=True, tag_field="kind"):
@@ -199,10 +199,10 @@
 
 def frame(message: Message) -> bytes:
     """One message as a netstring."""
-    return frame_body(_encode(message))
+    return encode_frame(_encode(message))
 
 
-class Unframer(Frames[Message]):
+class MessageDecoder(FrameDecoder[Message]):
     """Turns received bytes into messages of a run."""
 
     def __init__(self) -> None:
--- a/src/tideusher/scale/settings.py
+++ b/src/tideusher/scale/settings.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from tideusher.config import CloudSettings, Resources, StateSettings, WorkerSettings
+from tideusher.config import CloudSettings, ProcessResources, StateSettings, WorkerSettings
 from tideusher.scale.errors import ScaleError
 from tideusher.wire.jobs import BATCH, SERVICE
 
@@ -46,9 +46,9 @@
     ram_mb: Positive = 256.0
     max_sockets: AtLeastOne = 2000
 
-    def resources(self) -> Resources:
+    def resources(self) -> ProcessResources:
         """As the controllers' settings file has it."""
-        return Resources(self.cores, self.ram_mb, self.max_sockets)
+        return ProcessResources(self.cores, self.ram_mb, self.max_sockets)
 
 
 class FleetSettings(Strict, frozen=True):
--- a/src/tideusher/scale/soak_findings.py
+++ b/src/tideusher/scale/soak_findings.py
@@ -6,7 +6,7 @@
 from itertools import takewhile
 from pathlib import Path
 
-from tideusher.invariants import LOGGER
+from tideusher.invariants import LOGGER_NAME
 from tideusher.scale import events
 from tideusher.scale.judge import Broken
 from tideusher.scale.report import Result
@@ -45,7 +45,7 @@
         found.broken += _round_the_breaks([one for one in result.broken if one.rule not in uncounted], directory)
     for log in sorted(directory.glob("c*.log")):
         lines = log.read_text("utf-8", "replace").splitlines()
-        found.violations += [f"{log.stem}: {line}" for line in lines if f" {LOGGER}: " in line][:LINES_TOLD]
+        found.violations += [f"{log.stem}: {line}" for line in lines if f" {LOGGER_NAME}: " in line][:LINES_TOLD]
         for trace in _tracebacks(log.stem, lines):
             (found.known if any(part in trace for part in known) else found.tracebacks).append(trace)
     found.ended = [note for note in result.notes if "ended by itself" in note]
--- a/src/tideusher/scale/soak_report.py
+++ b/src/tideusher/scale/soak_report.py
@@ -10,7 +10,7 @@
 KNOWN_TOLD = 3
 
 
-def told(outcome: Outcome) -> list[str]:
+def outcome_lines(outcome: Outcome) -> list[str]:
     """A line; of a seed that shows something also its faults, what was found, and the line that plays it again."""
     if outcome.result is None:
         return [f"seed {outcome.seed}: NOT PLAYED: {outcome.error}", _again(outcome)]
--- a/src/tideusher/service.py
+++ b/src/tideusher/service.py
@@ -8,10 +8,10 @@
 import sys
 from collections.abc import Sequence
 
-from tideusher.config import Config, ConfigError, Settings, load_config, load_settings
+from tideusher.config import Config, ConfigError, OperatorSettings, load_config, load_settings
 
 
-def load(config_path: str, properties_path: str | None) -> tuple[Config, Settings]:
+def load(config_path: str, properties_path: str | None) -> tuple[Config, OperatorSettings]:
     """Both settings files; what is wrong with them is one line and exit 2."""
     try:
         return load_config(config_path), load_settings(properties_path)
--- a/src/tideusher/wire/claims.py
+++ b/src/tideusher/wire/claims.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from tideusher.wire.netstrings import FrameError, Frames, frame_body
+from tideusher.wire.netstrings import FrameDecoder, FrameError, encode_frame
 
 VERSION = 1
 
@@ -72,12 +72,12 @@
 
 def frame(message: Message) -> bytes:
     """One message as a netstring."""
-    return frame_body(_encode(message))
+    return encode_frame(_encode(message))
 
 
-def frames() -> Frames[Message]:
+def frames() -> FrameDecoder[Message]:
     """A reader of one connection."""
-    return Frames(_decode)
+    return FrameDecoder(_decode)
 
 
 def refusal_of(hello: Message) -> str:
--- a/src/tideusher/wire/cloud.py
+++ b/src/tideusher/wire/cloud.py
@@ -7,9 +7,9 @@
 from tideusher.wire.decoding import decoder
 
 BOOTING, UP, FAILED = "booting", "running", "failed"
-MAX_RENT = 50
-MAX_RETURN = 100
-MAX_LIST = 500
+MAX_MACHINES_PER_RENTAL = 50
+MAX_MACHINES_PER_RETURN = 100
+MAX_MACHINES_PER_PAGE = 500
 
 
 class MachineType(msgspec.Struct):
@@ -43,13 +43,13 @@
     count: int
 
 
-class Rented(msgspec.Struct):
+class MachineNames(msgspec.Struct):
     """Names of rented machines; also the body of a return request."""
 
     machines: list[str] = msgspec.field(name="berths")
 
 
-class Listed(msgspec.Struct):
+class ListedMachine(msgspec.Struct):
     """One machine of the (lagging) list."""
 
     name: str = msgspec.field(name="ref")
@@ -64,11 +64,11 @@
 class MachineList(msgspec.Struct):
     """A page of GET /rentals."""
 
-    machines: list[Listed] = msgspec.field(name="berths")
+    machines: list[ListedMachine] = msgspec.field(name="berths")
     more: bool = msgspec.field(name="truncated", default=False)
 
 
 decode_types: Callable[[bytes], MachineTypes] = decoder(MachineTypes)
-decode_rented: Callable[[bytes], Rented] = decoder(Rented)
+decode_rented: Callable[[bytes], MachineNames] = decoder(MachineNames)
 decode_list: Callable[[bytes], MachineList] = decoder(MachineList)
 encode = msgspec.json.Encoder().encode
--- a/src/tideusher/wire/netstrings.py
+++ b/src/tideusher/wire/netstrings.py
@@ -13,12 +13,12 @@
     """The other side sent something that is not a netstring of JSON."""
 
 
-def frame_body(body: bytes) -> bytes:
+def encode_frame(body: bytes) -> bytes:
     """One encoded message as a netstring."""
     return b"%d:%s," % (len(body), body)
 
 
-class Frames(Generic[Message]):
+class FrameDecoder(Generic[Message]):
     """Turns received bytes into messages, whatever the packet borders."""
 
     def __init__(self, decode: Callable[[bytes], Message]) -> None:
--- a/src/tideusher/wire/peers.py
+++ b/src/tideusher/wire/peers.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from tideusher.wire.netstrings import MAX_FRAME, FrameError, Frames, frame_body
+from tideusher.wire.netstrings import MAX_FRAME, FrameDecoder, FrameError, encode_frame
 
 __all__ = ["MAX_FRAME", "FrameError"]
 
@@ -13,7 +13,7 @@
     """Base of all peer messages."""
 
 
-class Seen(msgspec.Struct, array_like=True):
+class ReportedContact(msgspec.Struct, array_like=True):
     """A worker that the sender hears (`silent_ms` 0), or that has been silent for so long there."""
 
     machine: str
@@ -21,7 +21,7 @@
     silent_ms: int = 0
 
 
-class Refused(msgspec.Struct, array_like=True):
+class CapacityRefusal(msgspec.Struct, array_like=True):
     """Machines that the cloud had none of: for how long they are not asked for, and after how many refusals."""
 
     type: str
@@ -31,7 +31,7 @@
     times: int
 
 
-class Reserved(msgspec.Struct, array_like=True):
+class MachineReservation(msgspec.Struct, array_like=True):
     """A machine whose room is being cleared for a job."""
 
     machine: str
@@ -39,7 +39,7 @@
     left_ms: int
 
 
-class Failing(msgspec.Struct, array_like=True):
+class FailingJob(msgspec.Struct, array_like=True):
     """A job whose tasks fail: how often, the pause before the next try, and where it failed."""
 
     job: str
@@ -48,13 +48,13 @@
     machines: list[str] = []
 
 
-class Soft(msgspec.Struct, omit_defaults=True):
+class SoftState(msgspec.Struct, omit_defaults=True):
     """What the leader with this token knows and no record holds."""
 
     token: int
-    refused: list[Refused] = []
-    reserved: list[Reserved] = []
-    failing: list[Failing] = []
+    refused: list[CapacityRefusal] = []
+    reserved: list[MachineReservation] = []
+    failing: list[FailingJob] = []
 
 
 class Hello(PeerMessage, tag="hello"):
@@ -80,12 +80,12 @@
     token: int = 0
     writes: float = 0.0
     deaf: bool = False
-    seen: list[Seen] = []
+    seen: list[ReportedContact] = []
     behind: int | None = None
     lost: int = 0
     lag_ms: int = 0
     rests: bool = False
-    soft: Soft | None = None
+    soft: SoftState | None = None
     read: int = 0
     cancelled: list[tuple[str, int]] = msgspec.field(name="withdrawn", default_factory=list)
     sent: int = 0
@@ -132,10 +132,10 @@
 
 def frame(message: Message) -> bytes:
     """One message as a netstring."""
-    return frame_body(_encode(message))
+    return encode_frame(_encode(message))
 
 
-class Unframer(Frames[Message]):
+class MessageDecoder(FrameDecoder[Message]):
     """Turns received bytes into messages between controllers."""
 
     def __init__(self) -> None:
--- a/src/tideusher/wire/scripts.py
+++ b/src/tideusher/wire/scripts.py
@@ -19,7 +19,7 @@
     environment: dict[str, str] = {}
 
 
-class ScriptTaken(msgspec.Struct, omit_defaults=True):
+class ScriptAccepted(msgspec.Struct, omit_defaults=True):
     """201 of POST /pbs; `id` is the job's PBS name. Waived directives and notes are a line each."""
 
     ref: str
@@ -29,7 +29,7 @@
     notes: list[str] = []
 
 
-class KeptScript(msgspec.Struct):
+class StoredScript(msgspec.Struct):
     """GET /work/{id}/script: one line of JSON on how to run it and the script's bytes, packed."""
 
     ref: str
--- a/src/tideusher/wire/state.py
+++ b/src/tideusher/wire/state.py
@@ -96,8 +96,8 @@
     ttl_ms: int
 
 
-decode_done: Callable[[bytes], TxnDone] = decoder(TxnDone)
-decode_failed: Callable[[bytes], TxnFailed] = decoder(TxnFailed)
+decode_txn_done: Callable[[bytes], TxnDone] = decoder(TxnDone)
+decode_txn_failed: Callable[[bytes], TxnFailed] = decoder(TxnFailed)
 decode_items: Callable[[bytes], Items] = decoder(Items)
 decode_changes: Callable[[bytes], Changes] = decoder(Changes)
 decode_lease: Callable[[bytes], Lease] = decoder(Lease)
--- a/src/tideusher/wire/workers.py
+++ b/src/tideusher/wire/workers.py
@@ -8,8 +8,8 @@
 
 FETCHING, WAITING, ACTIVE, SAVING, EXITED = "pulling", "waiting", "running", "flushing", "exited"
 CAUSE_DONE, CAUSE_STOPPED, CAUSE_PEERS = "done", "stopped", "peers"
-CAUSE_INCOMPLETE, CAUSE_ERROR, CAUSE_NO_ROOM = "incomplete", "error", "full"
-CAUSE_BUSY, CAUSE_UNKNOWN = "in_use", "unknown"
+CAUSE_INCOMPLETE, CAUSE_ERROR, CAUSE_FULL = "incomplete", "error", "full"
+CAUSE_IN_USE, CAUSE_UNKNOWN = "in_use", "unknown"
 
 
 class TaskReport(msgspec.Struct, omit_defaults=True):
@@ -96,13 +96,13 @@
     return f"{job}/{index}"
 
 
-def split_task(name: str) -> tuple[str, int]:
+def parse_task_name(name: str) -> tuple[str, int]:
     """The inverse of task_name; raises ValueError on anything else."""
     job, _, index = name.rpartition("/")
     return job, int(index)
 
 
 decode_report: Callable[[bytes], Report] = decoder(Report)
-decode_head: Callable[[bytes], ReportHead] = decoder(ReportHead)
+decode_report_head: Callable[[bytes], ReportHead] = decoder(ReportHead)
 decode_commands: Callable[[bytes], Commands] = decoder(Commands)
 encode = msgspec.json.Encoder().encode
