--- a/src/tideusher/core/model/rentals.py
+++ b/src/tideusher/core/model/rentals.py
@@ -109,7 +109,7 @@
         rentals = self._rentals_of.setdefault(machine, [])
         if rental not in rentals:
             rentals.append(rental)
-            rentals.sort(key=lambda rental: (rental.adopted, rental.name))
+            rentals.sort(key=lambda other: (other.adopted, other.name))
         self._update_owner(machine, rentals)
 
     def _unlink(self, rental: Rental, machine: str) -> None:
