--- a/src/tideusher/actors/gateway.py
+++ b/src/tideusher/actors/gateway.py
@@ -148,7 +148,7 @@
         return job_id in self._cancellations or (stored is not None and stored.value["st"] == JOB_CANCELLED)
 
     def _with_cancellations(self, leader: str, answer: bytes, body: bytes) -> bytes:
-        """Adds cancellations that the leader may not know, above all if it alone cannot read the state service."""
+        """Enforces cancellations unknown to the leader, above all if it alone cannot read the state service."""
         now_us, contact_us = self._clock.now_us(), self._store.contact_us
 
         def reads_state() -> bool:
--- a/src/tideusher/actors/leader.py
+++ b/src/tideusher/actors/leader.py
@@ -216,7 +216,7 @@
         self._after_pass_step(engine, engine.tick(now_us))
 
     def _step_down(self, engine: Engine) -> None:
-        """Drops decisions that were not written, and becomes a standby that follows the records."""
+        """Drops decisions that were not written, and follows the records as a standby again."""
         self.log.info("stepped down: token %d, engine %d", engine.token, self._engine_count)
         self._engine = None
         self._command_sender.forget_all()
