--- a/src/tideusher/pbs/translate.py
+++ b/src/tideusher/pbs/translate.py
@@ -32,7 +32,7 @@
     split_list,
 )
 from tideusher.pbs.script import Script
-from tideusher.wire.arrays import BadArray, Indexes, parse_indexes
+from tideusher.wire.arrays import ArrayIndexes, InvalidArray, parse_indexes
 from tideusher.wire.jobs import (
     AFTER,
     AFTER_ANY,
@@ -84,7 +84,7 @@
     queue: Option | None = None
     account: Option | None = None
     project: Option | None = None
-    array: tuple[Option, Indexes, str, int | None] | None = None
+    array: tuple[Option, ArrayIndexes, str, int | None] | None = None
     resources: dict[str, tuple[Option, str | None]] = field(default_factory=dict)
     after: tuple[Option, list[JobAfter]] | None = None
     not_before: float | None = None
@@ -205,7 +205,7 @@
     try:
         indexes = parse_indexes(text, MAX_TASKS)
         at_once = parse_count(slots, 1) if percent else None
-    except (BadArray, BadResource) as error:
+    except (InvalidArray, BadResource) as error:
         raise option.refuse(str(error)) from None
     if option.letter == "J" and ("," in text or len(indexes) < 2):
         raise option.refuse("-J takes one range X-Y or X-Y:Z of two numbers at least")
--- a/src/tideusher/wire/__init__.py
+++ b/src/tideusher/wire/__init__.py
@@ -1,5 +1,5 @@
-"""Wire formats: typed messages, validation and framing. No I/O, so clients can use it too.
+"""Wire formats: typed messages, validation and framing. Does no I/O, so clients can use it too.
 
-The users' words (`helm`, `berth`, `hulls`, ...) live only in this package; the rest of the code
-speaks the field's standard terms.
+The platform's field names (`helm`, `berth`, `hulls`, ...) are used only in this package. All other
+code uses the standard terms that the structs here map them to.
 """
--- a/src/tideusher/wire/arrays.py
+++ b/src/tideusher/wire/arrays.py
@@ -1,4 +1,4 @@
-"""The users' numbers of an array's tasks: `0-9`, `1-99:2`, `1,4,7-9`."""
+"""Parses the user-defined indexes of array tasks: `0-9`, `1-99:2`, `1,4,7-9`."""
 
 import re
 from collections.abc import Sequence
@@ -6,12 +6,12 @@
 _RANGE = re.compile(r"([0-9]{1,9})(?:-([0-9]{1,9})(?::([0-9]{1,9}))?)?")
 
 
-class BadArray(ValueError):
-    """The text is no list of numbers and ranges; the message says why, in one line."""
+class InvalidArray(ValueError):
+    """The text is not a list of numbers and ranges; the message gives the reason in one line."""
 
 
-class Indexes(Sequence[int]):
-    """Increasing numbers, kept as ranges. Position i is the number of task i."""
+class ArrayIndexes(Sequence[int]):
+    """Strictly increasing array indexes, stored as ranges. Position i holds the index of task i."""
 
     def __init__(self, ranges: list[range]) -> None:
         self._ranges = ranges
@@ -29,32 +29,35 @@
         raise IndexError(position)
 
     def index(self, number: int, start: int = 0, stop: int | None = None) -> int:
-        """The task with this number; raises ValueError."""
-        first = 0
+        """Returns the task that has this array index; raises ValueError if there is none."""
+        position = 0
         for part in self._ranges:
             if number in part:
-                return first + part.index(number)
-            first += len(part)
+                return position + part.index(number)
+            position += len(part)
         raise ValueError(f"{number} is not one of the array's numbers")
 
 
-def parse_indexes(text: str, most: int) -> Indexes:
-    """Read a list of numbers and ranges; raises BadArray if it is none, goes down, or names over `most`."""
+def parse_indexes(text: str, max_tasks: int) -> ArrayIndexes:
+    """Parses a list of numbers and ranges.
+
+    Raises InvalidArray if the text is malformed, does not increase, or names more than `max_tasks` tasks.
+    """
     ranges: list[range] = []
     count = 0
     for part in text.split(","):
-        found = _RANGE.fullmatch(part)
-        if not found:
-            raise BadArray(f"{part!r} is not a number or a range X-Y or X-Y:Z")
-        first, last, step = int(found[1]), int(found[2] or found[1]), int(found[3] or 1)
+        match = _RANGE.fullmatch(part)
+        if not match:
+            raise InvalidArray(f"{part!r} is not a number or a range X-Y or X-Y:Z")
+        first, last, step = int(match[1]), int(match[2] or match[1]), int(match[3] or 1)
         if last < first:
-            raise BadArray(f"{part!r} goes down")
+            raise InvalidArray(f"{part!r} goes down")
         if step < 1:
-            raise BadArray(f"{part!r} has no step")
+            raise InvalidArray(f"{part!r} has no step")
         if ranges and first <= ranges[-1][-1]:
-            raise BadArray(f"{part!r} does not come after {ranges[-1][-1]}")
+            raise InvalidArray(f"{part!r} does not come after {ranges[-1][-1]}")
         ranges.append(range(first, last + 1, step))
         count += len(ranges[-1])
-        if count > most:
-            raise BadArray(f"it names more than {most} tasks")
-    return Indexes(ranges)
+        if count > max_tasks:
+            raise InvalidArray(f"it names more than {max_tasks} tasks")
+    return ArrayIndexes(ranges)
--- a/src/tideusher/wire/claims.py
+++ b/src/tideusher/wire/claims.py
@@ -1,8 +1,9 @@
-"""What the keeper of a machine and a program that uses a part of it say to each other: netstrings of JSON.
+"""The claim protocol between a machine's keeper and a program that uses part of the machine: netstrings of JSON.
 
-The keeper is whoever runs the tasks of the machine; the program runs as a task of a service, and its place
-is its claim. `fence` is the task's attempt number: a higher one means that all under a lower one is over.
-Times are on the machine's steady clock, which both sides read.
+The keeper is the process that runs the machine's tasks. The program runs as a task of a service; the
+resources that the task holds are its claim. `fence` is the task's attempt number: a higher fence
+invalidates every grant made under a lower one. Times are on the machine's monotonic clock, which both
+sides read.
 """
 
 from collections.abc import Callable
@@ -15,18 +16,18 @@
 
 
 class ClaimMessage(msgspec.Struct, omit_defaults=True, tag_field="what"):
-    """Base of all messages of a claim."""
+    """Base of all messages of the claim protocol."""
 
 
 class Hello(ClaimMessage, tag="hello"):
-    """The program's first message."""
+    """Sent by the program as its first message."""
 
     version: int
     program: str = ""
 
 
 class Granted(ClaimMessage, tag="granted"):
-    """The keeper: these cards are the program's until `until_us`, unless it is told that for longer."""
+    """Sent by the keeper: the program may use these cards until `until_us`; `Alive` extends the lease."""
 
     job: str
     index: int
@@ -39,14 +40,14 @@
 
 
 class Alive(ClaimMessage, tag="alive"):
-    """The keeper: a report was answered; the lease counts from when that report was sent."""
+    """Sent by the keeper after a report was answered: extends the lease, counted from when the report was sent."""
 
     fence: int
     until_us: int
 
 
 class Notice(ClaimMessage, tag="notice"):
-    """The keeper: stop using it, within the grace."""
+    """Sent by the keeper: the program must stop using the claim within the grace period."""
 
     fence: int
     grace_s: float
@@ -54,13 +55,13 @@
 
 
 class Refused(ClaimMessage, tag="refused"):
-    """The keeper: not with this program, for this reason; it closes."""
+    """Sent by the keeper when it rejects the program; it closes the connection afterwards."""
 
     reason: str
 
 
 class Gone(ClaimMessage, tag="gone"):
-    """The program: nothing of it uses what was granted under this fence any more, nor will."""
+    """Sent by the program: it no longer uses what was granted under this fence and will not use it again."""
 
     fence: int
 
@@ -71,17 +72,17 @@
 
 
 def frame(message: Message) -> bytes:
-    """One message as a netstring."""
+    """Encodes a message as a netstring."""
     return encode_frame(_encode(message))
 
 
 def frames() -> FrameDecoder[Message]:
-    """A reader of one connection."""
+    """Returns a decoder for the byte stream of one connection."""
     return FrameDecoder(_decode)
 
 
 def refusal_of(hello: Message) -> str:
-    """Why a keeper cannot speak with this program; empty: it can."""
+    """Returns why the keeper must reject this program, or an empty string if it can accept it."""
     if not isinstance(hello, Hello):
         return "the first message must be a hello"
     if hello.version != VERSION:
--- a/src/tideusher/wire/cloud.py
+++ b/src/tideusher/wire/cloud.py
@@ -1,4 +1,4 @@
-"""Messages of the cloud's rental interface."""
+"""Messages of the cloud's rental API."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 
 
 class MachineType(msgspec.Struct):
-    """One entry of /machine_types. Prices are per hour."""
+    """One entry of GET /machine_types. Prices are per hour."""
 
     name: str = msgspec.field(name="sku")
     cpus: float = msgspec.field(name="cores")
@@ -28,13 +28,13 @@
 
 
 class MachineTypes(msgspec.Struct):
-    """The answer of GET /machine_types."""
+    """Response to GET /machine_types."""
 
     types: list[MachineType] = msgspec.field(name="hulls")
 
 
 class RentRequest(msgspec.Struct):
-    """POST /rentals. The name must never be reused, by any node."""
+    """Body of POST /rentals. No node may ever reuse a rental name."""
 
     name: str = msgspec.field(name="charter")
     type: str = msgspec.field(name="hull")
@@ -44,13 +44,13 @@
 
 
 class MachineNames(msgspec.Struct):
-    """Names of rented machines; also the body of a return request."""
+    """Names of machines: the response to POST /rentals and the body of POST /rentals/return."""
 
     machines: list[str] = msgspec.field(name="berths")
 
 
 class ListedMachine(msgspec.Struct):
-    """One machine of the (lagging) list."""
+    """One machine of GET /rentals; the list lags behind the actual state."""
 
     name: str = msgspec.field(name="ref")
     address: str = msgspec.field(name="addr")
@@ -62,7 +62,7 @@
 
 
 class MachineList(msgspec.Struct):
-    """A page of GET /rentals."""
+    """One page of GET /rentals."""
 
     machines: list[ListedMachine] = msgspec.field(name="berths")
     more: bool = msgspec.field(name="truncated", default=False)
--- a/src/tideusher/wire/decoding.py
+++ b/src/tideusher/wire/decoding.py
@@ -1,4 +1,4 @@
-"""JSON decoders that have one way to say that a body is malformed."""
+"""JSON decoders that report every malformed body with the same exception."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -9,16 +9,16 @@
 
 
 def decoder(kind: type[T]) -> Callable[[bytes], T]:
-    """A decoder of JSON into `kind`; it raises msgspec.DecodeError for whatever is malformed.
+    """Returns a decoder of JSON into `kind` that raises msgspec.DecodeError for any malformed body.
 
-    msgspec itself raises RecursionError for a body that is nested too deeply, a skipped field's value included.
+    msgspec itself raises RecursionError for a body that is nested too deeply, also in a field that it skips.
     """
     decode: Callable[[bytes], Any] = msgspec.json.Decoder(kind).decode
 
-    def checked(body: bytes) -> T:
+    def decode_checked(body: bytes) -> T:
         try:
             return decode(body)
         except RecursionError:
             raise msgspec.DecodeError("JSON is nested too deeply") from None
 
-    return checked
+    return decode_checked
--- a/src/tideusher/wire/jobs.py
+++ b/src/tideusher/wire/jobs.py
@@ -1,12 +1,13 @@
-"""Jobs as users submit them, and the answers they get."""
+"""Job submissions and the responses to them."""
 
 import math
 import re
 
 import msgspec
 
-from tideusher.wire.arrays import BadArray, parse_indexes
+from tideusher.wire.arrays import InvalidArray, parse_indexes
 
+#: Bytes of a submission.
 MAX_BODY = 64 * 1024
 MAX_TASKS = 100_000
 JOB_ID = re.compile(r"req-[0-9]{1,19}")
@@ -14,25 +15,27 @@
 #: Highest priority first; the position is the rank used for ordering and preemption.
 PRIORITIES = ("critical", "urgent", "standard", "best_effort")
 PENDING, RUNNING, DONE, CANCELLED = "pending", "running", "done", "withdrawn"
-#: What a job may wait for of another: that it has begun, ended well, ended otherwise, ended in any way.
+#: Kinds of dependencies on another job: it has started, succeeded, ended without success, or ended either way.
 AFTER, AFTER_OK, AFTER_NOT_OK, AFTER_ANY = "after", "afterok", "afternotok", "afterany"
+#: Dependencies of a job.
 MAX_AFTER = 64
+#: Characters of a job's name and of the name of who holds it.
 MAX_NAME = 230
 
 
 class InvalidJob(ValueError):
-    """The submission is malformed; the text is the one-line reason for the user (400)."""
+    """The submission is invalid; the message is a one-line reason for the user (HTTP 400)."""
 
 
 class After(msgspec.Struct, frozen=True):
-    """One job that must have begun or ended first."""
+    """A dependency: the job that must have started or ended first, and which of the two (`on`)."""
 
     on: str
     job: str = msgspec.field(name="ref")
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One submission. Field renames translate the users' words."""
+    """A job submission. Field renames map the platform's wire names to the terms used here."""
 
     id: str = msgspec.field(name="ref")
     job_class: str = msgspec.field(name="jobclass")
@@ -54,48 +57,48 @@
     types: list[str] | None = msgspec.field(name="hulls", default=None)
     zone: str | None = msgspec.field(name="harbor", default=None)
     deadline_s: float | None = msgspec.field(name="due_s", default=None)
-    #: Our optional addition: the declared minimum runtime. Absent, it is derived from the shape.
+    #: Optional extension: the declared minimum runtime. If absent, it is derived from the shape.
     min_run_s: float | None = None
-    #: More of ours, absent on the platform's wire; `docs/pbs.md` tells what each promises.
-    name: str | None = None  # for people
-    hold: str | None = None  # accepted as held, by whom
-    not_before: float | None = None  # time of day in seconds since 1970, UTC
+    #: Further extensions, not part of the platform's protocol; `docs/pbs.md` defines each of them.
+    name: str | None = None  # display name
+    hold: str | None = None  # the job is accepted in the held state; who holds it
+    not_before: float | None = None  # earliest start, Unix time in seconds
     after: list[After] | None = None
-    at_once: int | None = None  # of a batch: tasks that may hold a place at a time
-    limit_s: float | None = None  # a task that runs longer is stopped for good
-    array: str | None = None  # of a batch: the users' numbers of its tasks, such as 1,4,7-9:2
+    at_once: int | None = None  # batch only: the number of tasks that may be placed at the same time
+    limit_s: float | None = None  # a task that runs longer is stopped and not restarted
+    array: str | None = None  # batch only: the indexes of its tasks, such as 1,4,7-9:2
 
     @property
     def rank(self) -> int:
-        """0 is the highest priority."""
+        """The position in PRIORITIES; 0 is the highest priority."""
         return PRIORITIES.index(self.priority)
 
     @property
     def conditional(self) -> bool:
-        """Does it use what only a service with `jobs.conditions` promises?"""
-        ours = (self.hold, self.not_before, self.after, self.at_once, self.limit_s)
-        return any(value is not None for value in ours)
+        """True if the job uses features that require the setting `jobs.conditions`."""
+        conditions = (self.hold, self.not_before, self.after, self.at_once, self.limit_s)
+        return any(value is not None for value in conditions)
 
 
 _decoder: msgspec.json.Decoder[JobSpec] = msgspec.json.Decoder(JobSpec)
 
 
 def parse_job(body: bytes) -> JobSpec:
-    """Decode and check a submission; raises InvalidJob with a reason fit for the user."""
+    """Decodes and validates a submission; raises InvalidJob with a reason for the user."""
     if len(body) > MAX_BODY:
         raise InvalidJob("the body is over 64 KiB")
     try:
         spec = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise InvalidJob(str(error)) from None
-    except RecursionError:  # of a field that we do not know, thousands deep: as bad the next time
+    except RecursionError:  # also from an unknown field; permanent, as a retry would fail the same way
         raise InvalidJob("it is nested too deeply") from None
     check_job(spec)
     return spec
 
 
 def check_job(spec: JobSpec) -> None:
-    """Raises InvalidJob if a field is out of its range or contradicts another."""
+    """Raises InvalidJob if a field is out of range or contradicts another."""
     if not JOB_ID.fullmatch(spec.id):
         raise InvalidJob("ref must look like req-000412")
     if spec.shape not in (BATCH, GANG, SERVICE):
@@ -121,49 +124,49 @@
     for name, text in (("jobclass", spec.job_class), ("owner", spec.team), ("bundle", spec.image)):
         if not text:
             raise InvalidJob(f"{name} must not be empty")
-    _check_ours(spec)
+    _check_extensions(spec)
 
 
-def _check_ours(spec: JobSpec) -> None:
-    """The optional fields that the platform does not know."""
+def _check_extensions(spec: JobSpec) -> None:
+    """Checks the optional fields that are not part of the platform's protocol."""
     for name, text in (("name", spec.name), ("hold", spec.hold)):
         if text is not None and (not 0 < len(text) <= MAX_NAME or not text.isprintable()):
             raise InvalidJob(f"{name} must be 1 to {MAX_NAME} printable characters")
-    if spec.not_before is not None and not 0 <= spec.not_before < 1e11:  # false for no number too
-        raise InvalidJob("not_before must be a time of day in seconds since 1970")
+    if spec.not_before is not None and not 0 <= spec.not_before < 1e11:  # also rejects NaN
+        raise InvalidJob("not_before must be a Unix time in seconds (since 1970)")
     if spec.limit_s is not None:
         if not 0 < spec.limit_s < 1e9:
             raise InvalidJob("limit_s must be a number above 0")
         if spec.shape == SERVICE:
-            raise InvalidJob("limit_s does not go with a service, which runs until it is cancelled")
+            raise InvalidJob("limit_s is not allowed for a service, which runs until it is cancelled")
     if spec.at_once is not None and (spec.at_once < 1 or spec.shape != BATCH):
-        raise InvalidJob("at_once must be at least 1 and goes with a batch only")
+        raise InvalidJob("at_once must be at least 1 and is allowed for a batch only")
     after = spec.after or []
     if len(after) > MAX_AFTER:
         raise InvalidJob(f"after names {len(after)} jobs; {MAX_AFTER} are possible")
-    for one in after:
-        if one.on not in (AFTER, AFTER_OK, AFTER_NOT_OK, AFTER_ANY):
-            raise InvalidJob(f"after: {one.on!r} is not one of after, afterok, afternotok, afterany")
-        if not JOB_ID.fullmatch(one.job):
+    for dependency in after:
+        if dependency.on not in (AFTER, AFTER_OK, AFTER_NOT_OK, AFTER_ANY):
+            raise InvalidJob(f"after: {dependency.on!r} is not one of after, afterok, afternotok, afterany")
+        if not JOB_ID.fullmatch(dependency.job):
             raise InvalidJob("after: ref must look like req-000412")
     if spec.array is not None:
         if spec.shape != BATCH:
-            raise InvalidJob("array goes with a batch only")
+            raise InvalidJob("array is allowed for a batch only")
         try:
             indexes = parse_indexes(spec.array, MAX_TASKS)
-        except BadArray as error:
+        except InvalidArray as error:
             raise InvalidJob(f"array: {error}") from None
         if len(indexes) != spec.tasks:
             raise InvalidJob(f"array names {len(indexes)} tasks, pieces says {spec.tasks}")
 
 
 class JobStatus(msgspec.Struct, omit_defaults=True):
-    """The answer to submissions, polls and cancellations."""
+    """Response to submissions, polls and cancellations."""
 
     id: str = msgspec.field(name="ref")
     status: str = ""
     done: int | None = None
     running: int | None = None
-    #: Ours, only where there is something to say: by whom it is held, and why the service ended it.
+    #: Extensions, absent if not applicable: who holds the job, and why the service ended it.
     held: str | None = None
     why: str | None = None
--- a/src/tideusher/wire/peers.py
+++ b/src/tideusher/wire/peers.py
@@ -1,4 +1,4 @@
-"""What controllers say to one another: netstrings of JSON."""
+"""The protocol between controllers: netstrings of JSON."""
 
 from collections.abc import Callable
 
@@ -10,11 +10,11 @@
 
 
 class PeerMessage(msgspec.Struct, omit_defaults=True, tag_field="kind"):
-    """Base of all peer messages."""
+    """Base of all messages between controllers."""
 
 
 class ReportedContact(msgspec.Struct, array_like=True):
-    """A worker that the sender hears (`silent_ms` 0), or that has been silent for so long there."""
+    """A worker's contact with the sender: `silent_ms` is 0 while it reports, else how long it has been silent."""
 
     machine: str
     address: str = ""
@@ -22,7 +22,10 @@
 
 
 class CapacityRefusal(msgspec.Struct, array_like=True):
-    """Machines that the cloud had none of: for how long they are not asked for, and after how many refusals."""
+    """A kind of machine that the cloud had no capacity for.
+
+    No further request is made for `left_ms`; `times` is the number of refusals so far.
+    """
 
     type: str
     zone: str
@@ -32,7 +35,7 @@
 
 
 class MachineReservation(msgspec.Struct, array_like=True):
-    """A machine whose room is being cleared for a job."""
+    """A machine whose capacity is being freed for a job; the reservation lasts `left_ms`."""
 
     machine: str
     job: str
@@ -40,7 +43,7 @@
 
 
 class FailingJob(msgspec.Struct, array_like=True):
-    """A job whose tasks fail: how often, the pause before the next try, and where it failed."""
+    """A job whose tasks fail: the number of failures, the pause before the next try, and where it failed."""
 
     job: str
     failures: int
@@ -49,7 +52,7 @@
 
 
 class SoftState(msgspec.Struct, omit_defaults=True):
-    """What the leader with this token knows and no record holds."""
+    """State of the leader with this token that is in no record of the state service."""
 
     token: int
     refused: list[CapacityRefusal] = []
@@ -58,21 +61,26 @@
 
 
 class Hello(PeerMessage, tag="hello"):
-    """First frame of a link and its heartbeat: who speaks, whether it reaches the state service, who
-    leads as far as it knows, how many changes a second it wants to write, and whether all workers that
-    it had have fallen silent.
+    """First frame of a connection and its heartbeat.
+
+    It names the sender (`node`), whether it reaches the state service (`in_contact`), the leader that it knows
+    (`leader`, `token`), the changes per second that it wants to write (`writes`), and whether all its workers have
+    fallen silent (`deaf`).
 
-    Of a controller that does not reach the state service, `read` is up to which revision it knows of cancellations;
-    the answer to that holds those that came after it (job, stamp) and up to which revision that is all.
+    A controller that does not reach the state service sends in `read` the revision up to which it knows of
+    cancellations. The answer holds those after it in `cancelled` (job, stamp), and in `read` the revision up to
+    which they are complete.
 
-    For whoever leads next, and passed over by older nodes: which workers it hears (what changed since the last
-    heartbeat on this connection), how many changes it has yet to apply (None: it does not follow), the token of a
-    leader that refuses it since their connection ended, how late its timers fire, whether it gave way just now, and
-    from a leader what no record holds.
+    The next leader uses the following fields, which older nodes ignore: `seen`, the contacts with workers that
+    changed since the last heartbeat on this connection; `behind`, the number of changes not yet applied (None: the
+    node does not follow the records); `lost`, the token of a leader that refuses this node since their connection
+    ended; `lag_ms`, how late its timers fire; `rests`, whether it stepped down a short time ago; and `soft`, sent
+    by a leader only.
 
-    `pages`: does it read shared placement records? An older version does not, and does not say so.
+    `pages` is true if the node reads shared placement records; older versions do not and omit the field.
 
-    `sent` is the sender's own steady time, which the answer gives back: for how long both were under way."""
+    `sent` is the sender's monotonic time in microseconds. The answer returns it, which gives the round-trip time.
+    """
 
     node: str
     in_contact: bool = False
@@ -93,14 +101,14 @@
 
 
 class ForwardReport(PeerMessage, tag="report"):
-    """A worker's report, passed on by the gateway as it came."""
+    """A worker's report, forwarded unchanged by a gateway."""
 
     id: int
     body: msgspec.Raw
 
 
 class ReportAnswer(PeerMessage, tag="answer"):
-    """The answer to a forwarded report or request; `ok` is false from a node that cannot give one."""
+    """Response to a forwarded report, question or request; `ok` is false if the node cannot answer."""
 
     id: int
     ok: bool
@@ -109,7 +117,7 @@
 
 
 class Ask(PeerMessage, tag="ask"):
-    """A question to the leader on behalf of a user or operator, such as why a job waits."""
+    """A query to the leader on behalf of a user or operator, such as why a job waits."""
 
     id: int
     what: str
@@ -117,7 +125,7 @@
 
 
 class UserRequest(PeerMessage, tag="request"):
-    """A user's request, passed on by a node that the state service does not answer."""
+    """A user's request, forwarded by a node that cannot reach the state service."""
 
     id: int
     method: str
@@ -131,12 +139,12 @@
 
 
 def frame(message: Message) -> bytes:
-    """One message as a netstring."""
+    """Encodes a message as a netstring."""
     return encode_frame(_encode(message))
 
 
 class MessageDecoder(FrameDecoder[Message]):
-    """Turns received bytes into messages between controllers."""
+    """Decodes a byte stream into messages between controllers."""
 
     def __init__(self) -> None:
         super().__init__(_decode)
--- a/src/tideusher/wire/scripts.py
+++ b/src/tideusher/wire/scripts.py
@@ -1,13 +1,13 @@
-"""Batch scripts as they are sent to the service, and as they are fetched from it."""
+"""Messages for submitting PBS batch scripts to the service and fetching them from it."""
 
 import msgspec
 
 
 class ScriptRequest(msgspec.Struct, omit_defaults=True):
-    """POST /pbs. The script is plain in `script`, or packed (zstandard, base64) in `packed`.
+    """Body of POST /pbs. The script is plain text in `script`, or compressed (zstandard, base64) in `packed`.
 
-    `options` are those of the command line, which override the script's. `utc_offset_s` is the submitter's,
-    for `-a`; `environment` has the values of the variables that `-v` only names.
+    `options` are the command-line options, which override those of the script. `utc_offset_s` is the submitter's
+    offset, needed for `-a`. `environment` holds the values of the variables that `-v` lists without a value.
     """
 
     ref: str
@@ -20,7 +20,7 @@
 
 
 class ScriptAccepted(msgspec.Struct, omit_defaults=True):
-    """201 of POST /pbs; `id` is the job's PBS name. Waived directives and notes are a line each."""
+    """Response 201 to POST /pbs; `id` is the job's PBS name. `waived` and `notes` hold one line per entry."""
 
     ref: str
     status: str
@@ -30,7 +30,7 @@
 
 
 class StoredScript(msgspec.Struct):
-    """GET /work/{id}/script: one line of JSON on how to run it and the script's bytes, packed."""
+    """Response to GET /work/{id}/script. `packed` holds a line of JSON on how to run it and the script."""
 
     ref: str
     packed: str
--- a/src/tideusher/wire/state.py
+++ b/src/tideusher/wire/state.py
@@ -1,4 +1,4 @@
-"""Messages of the state service."""
+"""Messages of the state service, a transactional key-value store with leases and watches."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,14 +9,14 @@
 
 
 class Guard(msgspec.Struct):
-    """A condition of a transaction: the key has this stamp (0: it does not exist)."""
+    """A precondition of a transaction: the key has this stamp (0: the key does not exist)."""
 
     key: str
     stamp: int
 
 
 class Put(msgspec.Struct, omit_defaults=True):
-    """Set a key, optionally bound to a lease."""
+    """Sets a key, optionally bound to a lease."""
 
     key: str = msgspec.field(name="set")
     value: Any = None
@@ -24,7 +24,7 @@
 
 
 class Delete(msgspec.Struct):
-    """Remove a key."""
+    """Removes a key."""
 
     key: str = msgspec.field(name="remove")
 
@@ -33,27 +33,27 @@
 
 
 class Txn(msgspec.Struct):
-    """An atomic compare-and-write."""
+    """An atomic compare-and-write: all writes are applied if all guards hold, else none."""
 
     guards: list[Guard]
     writes: list[Put | Delete] = []
 
 
 class TxnDone(msgspec.Struct):
-    """200 of a transaction."""
+    """Response 200 to a transaction: it was applied."""
 
     revision: int = msgspec.field(name="tide")
 
 
 class TxnFailed(msgspec.Struct):
-    """409 of a transaction."""
+    """Response 409 to a transaction: guards failed and nothing was written."""
 
     failed: list[str]
     revision: int = msgspec.field(name="tide", default=0)
 
 
 class Item(msgspec.Struct):
-    """A key with its value."""
+    """A key with its value and the stamp of its last change."""
 
     key: str
     value: Any
@@ -61,7 +61,7 @@
 
 
 class Items(msgspec.Struct):
-    """A page of a prefix read."""
+    """One page of a read by key prefix."""
 
     items: list[Item]
     revision: int = msgspec.field(name="tide")
@@ -69,7 +69,7 @@
 
 
 class Event(msgspec.Struct):
-    """One change seen by a watch: a put or a removal."""
+    """One change reported by a watch: a put or a removal."""
 
     stamp: int
     put: str | None = msgspec.field(name="set", default=None)
@@ -78,20 +78,20 @@
 
 
 class Changes(msgspec.Struct):
-    """The answer of a watch."""
+    """Response to a watch request."""
 
     revision: int = msgspec.field(name="tide")
     events: list[Event] = msgspec.field(name="log", default_factory=list)
 
 
 class Lease(msgspec.Struct):
-    """The answer of POST /holds."""
+    """Response to POST /holds: a lease was granted."""
 
     id: int = msgspec.field(name="mooring")
 
 
 class LeaseRequest(msgspec.Struct):
-    """POST /holds."""
+    """Body of POST /holds: requests a lease."""
 
     ttl_ms: int
 
--- a/src/tideusher/wire/workers.py
+++ b/src/tideusher/wire/workers.py
@@ -1,4 +1,4 @@
-"""Reports of workers and the commands they are given."""
+"""Reports sent by workers and commands sent to them."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 
 
 class TaskReport(msgspec.Struct, omit_defaults=True):
-    """One task on a worker's machine."""
+    """The state of one task on a worker's machine."""
 
     task: str = msgspec.field(name="piece")
     attempt: int = msgspec.field(name="launch")
@@ -23,7 +23,7 @@
 
 
 class Report(msgspec.Struct, omit_defaults=True):
-    """A worker's report. (session, serial) orders the reports of one worker."""
+    """A worker's periodic report. (session, serial) orders the reports of one worker."""
 
     machine: str = msgspec.field(name="berth")
     address: str = msgspec.field(name="addr")
@@ -38,7 +38,7 @@
 
 
 class ReportHead(msgspec.Struct):
-    """What a node that passes a report on must know of it."""
+    """The fields of a report that a node needs to forward it."""
 
     machine: str = msgspec.field(name="berth")
     zone: str = msgspec.field(name="harbor")
@@ -56,14 +56,14 @@
 
 
 class Commands(msgspec.Struct):
-    """The answer to a report."""
+    """Response to a report."""
 
     token: int = msgspec.field(name="helm")
     commands: list[Command] = msgspec.field(name="orders", default_factory=list)
 
 
 class DirectCommands(msgspec.Struct):
-    """Commands sent straight to a worker's address."""
+    """Commands sent directly to a worker's address, not as the response to a report."""
 
     token: int = msgspec.field(name="helm")
     session: int = msgspec.field(name="watch")
@@ -71,33 +71,33 @@
 
 
 class Redirect(msgspec.Struct):
-    """Body of a 421: the node that should be reported to."""
+    """Body of a response 421: the node to send reports to."""
 
     node: str = msgspec.field(name="harbormaster")
 
 
 def run(task: str, attempt: int) -> Command:
-    """Start a task. Only ever put into an answer to a report (see docs/safety.md, 4)."""
+    """Returns the command to start a task. Only sent in the response to a report (see docs/safety.md, 4)."""
     return Command("run", task, attempt)
 
 
 def halt(task: str, attempt: int, grace_s: float) -> Command:
-    """Stop a task, leaving it `grace_s` to save."""
+    """Returns the command to stop a task, which gets `grace_s` to save its state."""
     return Command("halt", task, attempt, grace_s)
 
 
 def forget(task: str, attempt: int) -> Command:
-    """Drop an exited task from the worker's reports."""
+    """Returns the command to remove an exited task from the worker's reports."""
     return Command("forget", task, attempt)
 
 
 def task_name(job: str, index: int) -> str:
-    """`req-000412/3`."""
+    """Returns the name of a job's task, such as `req-000412/3`."""
     return f"{job}/{index}"
 
 
 def parse_task_name(name: str) -> tuple[str, int]:
-    """The inverse of task_name; raises ValueError on anything else."""
+    """Splits a task name into job and index; raises ValueError if it is not one."""
     job, _, index = name.rpartition("/")
     return job, int(index)
 
