--- a/run.py
+++ b/run.py
@@ -1,9 +1,9 @@
-"""Start one controller from a checkout: `python3 run.py --config FILE`.
+"""Starts one controller from a checkout: `python3 run.py --config FILE`.
 
-Dependencies built under target/deps and the sources under src are put on the path here, so the
-platform needs no installation step beyond the build command of deploy/service.toml. That command also
-compiles the sources into target/pycache: a controller that is killed comes back without compiling
-them again. Compiled files that are missing or older than their source are passed over by Python itself.
+Adds the dependencies built under target/deps and the sources under src to the path, so the platform
+needs no installation step beyond the build command of deploy/service.toml. That command also compiles
+the sources into target/pycache: a controller that is killed restarts without compiling them again.
+Python itself ignores compiled files that are missing or older than their source.
 """
 
 import importlib
@@ -11,9 +11,9 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent
-#: What the sources import from outside. Loaded first, with the compiled files that lie beside it: the
-#: prefix below counts for every import after it is set.
-OUTSIDE = (
+#: Modules from outside this project that the sources import. They are loaded first, with the compiled files beside
+#: them, since the cache prefix that `start` sets applies to every import after it.
+EXTERNAL_MODULES = (
     "argparse",
     "bisect",
     "dataclasses",
@@ -36,12 +36,12 @@
 
 
 def start(arguments: list[str]) -> None:
-    """Load what is needed, and serve."""
+    """Loads the controller's modules and serves."""
     sys.path[:0] = [str(ROOT / "src"), str(ROOT / "target" / "deps")]
-    for name in OUTSIDE:
+    for name in EXTERNAL_MODULES:
         importlib.import_module(name)
     prefix, sys.pycache_prefix = sys.pycache_prefix, str(ROOT / "target" / "pycache")
-    import tideusher.node  # noqa: F401  (all that a controller runs)
+    import tideusher.node  # noqa: F401  (loads all modules of a controller)
     from tideusher.service import main
 
     sys.pycache_prefix = prefix
--- a/src/tideusher/client.py
+++ b/src/tideusher/client.py
@@ -1,4 +1,4 @@
-"""A client of the service, for programs and the command line. Needs the wire package, not the daemon."""
+"""A client of the service, for programs and the command line. Needs the wire package only, not the controller."""
 
 import http.client
 from typing import TYPE_CHECKING, Any
@@ -14,7 +14,7 @@
 
 
 class ServiceError(Exception):
-    """The service refused or could not be reached; the text is one line for people."""
+    """The service rejected the request or could not be reached; the message is one line for users."""
 
     def __init__(self, reason: str, status: int | None = None) -> None:
         super().__init__(reason)
@@ -22,7 +22,7 @@
 
 
 class Client:
-    """Calls to one node."""
+    """A client of one node. All methods raise ServiceError."""
 
     def __init__(self, node: str, timeout_s: float = 5.0) -> None:
         host, _, port = node.rpartition(":")
@@ -31,71 +31,71 @@
         self._host, self._port, self._timeout_s = host, int(port), timeout_s
 
     def submit(self, spec: JobSpec | bytes) -> JobStatus:
-        """Submit a job; returns its state."""
+        """Submits a job and returns its state."""
         body = spec if isinstance(spec, bytes) else msgspec.json.encode(spec)
         return msgspec.json.decode(self._call("POST", "/work", body), type=JobStatus)
 
     def status(self, job: str) -> JobStatus:
-        """The job's state."""
+        """Returns the job's state."""
         return msgspec.json.decode(self._call("GET", f"/work/{job}"), type=JobStatus)
 
     def cancel(self, job: str) -> JobStatus:
-        """Cancel the job; returns its final state."""
+        """Cancels the job and returns its final state."""
         return msgspec.json.decode(self._call("POST", f"/work/{job}/abort"), type=JobStatus)
 
     def hold(self, job: str, by: str | None = None) -> JobStatus:
-        """Let nothing more of the job start until it is released; what runs goes on."""
+        """Holds the job: no further task starts until it is released; running tasks continue."""
         body = msgspec.json.encode({"by": by} if by else {})
         return msgspec.json.decode(self._call("POST", f"/work/{job}/hold", body), type=JobStatus)
 
     def release(self, job: str) -> JobStatus:
-        """Let a held job go on."""
+        """Releases a held job."""
         return msgspec.json.decode(self._call("POST", f"/work/{job}/release", b"{}"), type=JobStatus)
 
     def shrink(self, job: str, tasks: int) -> JobStatus:
-        """Let a service have fewer replicas (at least 1): the first ones stay."""
+        """Reduces a service to `tasks` replicas (at least 1); those with the lowest indexes are kept."""
         body = msgspec.json.encode({"pieces": tasks})
         return msgspec.json.decode(self._call("POST", f"/work/{job}/shrink", body), type=JobStatus)
 
     def submit_script(self, request: ScriptRequest) -> ScriptAccepted:
-        """Submit a PBS script; one that is known by its ref already gives that job's state."""
+        """Submits a PBS script; if the ref is already known, returns the state of that job."""
         from tideusher.pbs.ids import pbs_id
 
-        taken: dict[str, Any] = msgspec.json.decode(
+        response: dict[str, Any] = msgspec.json.decode(
             self._call("POST", "/pbs", msgspec.json.encode(request)), type=dict
         )
-        return msgspec.convert({"id": pbs_id(request.ref), **taken}, ScriptAccepted)
+        return msgspec.convert({"id": pbs_id(request.ref), **response}, ScriptAccepted)
 
     def profile(self) -> "Profile":
-        """What the service adds to PBS scripts."""
+        """Returns the profile by which the service translates PBS scripts."""
         from tideusher.pbs import Profile
 
         return msgspec.json.decode(self._call("GET", "/pbs"), type=Profile)
 
     def script(self, job: str) -> "tuple[Run, bytes]":
-        """How to run the job's script, and its text as it was submitted."""
+        """Returns how to run the job's script, and its text as it was submitted."""
         from tideusher.pbs.storage import Damaged, unpack
 
-        kept: StoredScript = msgspec.json.decode(self._call("GET", f"/work/{job}/script"), type=StoredScript)
+        stored: StoredScript = msgspec.json.decode(self._call("GET", f"/work/{job}/script"), type=StoredScript)
         try:
-            return unpack([{"z": kept.packed}])
+            return unpack([{"z": stored.packed}])
         except Damaged as error:
             raise ServiceError(f"the script of {job}: {error}") from None
 
     def explain(self, job: str) -> dict[str, Any]:
-        """Why the job waits, and why its tasks were stopped."""
+        """Returns why the job waits and why its tasks were stopped."""
         return msgspec.json.decode(self._call("GET", f"/why/{job}"))
 
     def teams(self) -> list[dict[str, Any]]:
-        """Ratios, charges and guarantees."""
+        """Returns the teams with their ratios, charges and guarantees."""
         return msgspec.json.decode(self._call("GET", "/teams"))
 
     def machines(self) -> list[dict[str, Any]]:
-        """The fleet."""
+        """Returns the machines of the fleet."""
         return msgspec.json.decode(self._call("GET", "/machines"))
 
     def falls(self) -> list[dict[str, Any]]:
-        """Falls of many machines on record, the newest first."""
+        """Returns the recorded mass failures of machines, newest first."""
         return msgspec.json.decode(self._call("GET", "/falls"))
 
     def _call(self, method: str, path: str, body: bytes | None = None) -> bytes:
--- a/src/tideusher/clock.py
+++ b/src/tideusher/clock.py
@@ -1,17 +1,17 @@
-"""Time in whole microseconds. Everything that decides takes a Clock, so tests can own time."""
+"""Time in whole microseconds. Code that makes decisions takes a Clock, so that tests can control time."""
 
 import time
 
 
 class Clock:
-    """The process's clocks: a steady one for intervals, the time of day for records others read."""
+    """The process's clocks: monotonic time for intervals, wall-clock time for records that others read."""
 
     def now_us(self) -> int:
-        """Steady time; only differences mean anything."""
+        """Returns the monotonic time; only differences are meaningful."""
         return time.monotonic_ns() // 1000
 
     def wall_us(self) -> int:
-        """Time of day; off by up to the platform's bound."""
+        """Returns the wall-clock time, which may be off by up to the platform's bound (`clock_off_ms`)."""
         return time.time_ns() // 1000
 
 
@@ -19,10 +19,10 @@
 
 
 def to_us(seconds: float) -> int:
-    """Seconds from the wire as whole microseconds."""
+    """Converts seconds, as used on the wire, to whole microseconds."""
     return round(seconds * SECOND_US)
 
 
 def to_s(us: int) -> float:
-    """Microseconds as seconds for the wire or for people."""
+    """Converts microseconds to seconds, for the wire or for display."""
     return us / SECOND_US
--- a/src/tideusher/config.py
+++ b/src/tideusher/config.py
@@ -1,4 +1,4 @@
-"""The platform's settings file (TOML) and the operators' own settings (Java-style properties)."""
+"""Loads the platform's settings file (TOML) and the operators' settings (Java-style properties)."""
 
 import re
 import tomllib
@@ -14,11 +14,11 @@
 
 
 class ConfigError(ValueError):
-    """One clear line naming the file and the field."""
+    """A settings file is invalid; the message is one line that names the file and the field."""
 
 
 class Peer(msgspec.Struct):
-    """Another controller."""
+    """The name, zone and address of another controller."""
 
     name: str = msgspec.field(name="host_name")
     zone: str = msgspec.field(name="site")
@@ -26,14 +26,14 @@
 
 
 class Endpoints(msgspec.Struct):
-    """Addresses of the region's services."""
+    """Addresses of the region's cloud API and state service."""
 
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct):
-    """A team's guarantee and limit; 0 means none."""
+    """A team's guarantees (`cpus`, `gpus`) and limits (`*_max`); 0 means none."""
 
     name: str
     cpus: float = 0.0
@@ -43,7 +43,7 @@
 
 
 class Objective(msgspec.Struct):
-    """An aim that the platform repeats to us; kinds we do not know are ignored."""
+    """A service-level objective set by the platform; unknown kinds are ignored."""
 
     kind: str
     job_class: str | None = msgspec.field(name="class", default=None)
@@ -52,7 +52,7 @@
 
 
 class WorkerSettings(msgspec.Struct):
-    """Timings of workers."""
+    """Intervals and timeouts of workers."""
 
     report_s: float
     lease_s: float
@@ -62,7 +62,7 @@
 
 
 class StateSettings(msgspec.Struct):
-    """Limits of the state service."""
+    """Rate and size limits of the state service."""
 
     rps: float
     write_rps: float
@@ -71,14 +71,14 @@
 
 
 class CloudSettings(msgspec.Struct):
-    """Limits of the cloud's interface."""
+    """Rate limit of the cloud's API and the lag of its machine list."""
 
     rps: float
     list_lag_s: float
 
 
 class ProcessResources(msgspec.Struct):
-    """What the platform grants this process."""
+    """Resources that the platform grants this process."""
 
     cores: float = 1.0
     ram_mb: float = 256.0
@@ -86,7 +86,7 @@
 
 
 class DeploymentSettings(msgspec.Struct):
-    """The `settings` table."""
+    """The `settings` table of the platform's file."""
 
     size: int
     zones: list[str]
@@ -100,7 +100,7 @@
 
 
 class Config(msgspec.Struct):
-    """The whole settings file."""
+    """The platform's settings file."""
 
     node: str = msgspec.field(name="host_name")
     zone: str = msgspec.field(name="site")
@@ -112,7 +112,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """`10.0.0.1:8080` as a pair; raises ValueError."""
+    """Splits an address such as `10.0.0.1:8080` into host and port; raises ValueError."""
     host, _, port = address.rpartition(":")
     if not host:
         raise ValueError(f"{address!r} is not host:port")
@@ -120,13 +120,13 @@
 
 
 def load_config(path: str) -> Config:
-    """Read and check the platform's file; unknown fields are ignored."""
+    """Reads and validates the platform's file, ignoring unknown fields; raises ConfigError."""
     try:
         raw = tomllib.loads(Path(path).read_text("utf-8"))
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise ConfigError(f"{path}: not TOML: {error}") from None
+        raise ConfigError(f"{path}: not valid TOML: {error}") from None
     for name in ("bind", "cluster_listen", "endpoints", "settings"):
         if name not in raw:
             raise ConfigError(f"{path}: field {name} is missing")
@@ -150,7 +150,10 @@
 
 
 class Policy(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=lambda n: n.replace("__", ".")):
-    """Operators' settings. Names in the properties file use a dot where these use two underscores."""
+    """The operators' scheduling settings.
+
+    Names in the properties file have a dot where these have two underscores.
+    """
 
     ledger__window_s: Annotated[float, msgspec.Meta(ge=1)] = 3600.0
     ledger__gather_s: Annotated[float, msgspec.Meta(ge=0.5)] = 5.0
@@ -180,60 +183,60 @@
 
     @property
     def margin(self) -> float:
-        """How much lower a ratio must be to count as clearly lower."""
+        """The amount by which a ratio must be lower than another to count as clearly lower."""
         return self.preempt__margin
 
     def min_run_us(self, shape: str, estimate_s: float, declared_s: float | None) -> int:
-        """The protected runtime of a job: declared, or derived from its shape, up to the cap."""
+        """Returns the protected minimum runtime of a job: declared or derived from its shape, up to the cap."""
         if declared_s is not None:
-            wanted = declared_s
+            min_run_s = declared_s
         elif shape == "service":
-            wanted = self.min_run__service
+            min_run_s = self.min_run__service
         elif shape == "gang":
-            wanted = estimate_s * self.min_run__gang_factor
+            min_run_s = estimate_s * self.min_run__gang_factor
         else:
-            wanted = estimate_s * self.min_run__batch_factor
-        return to_us(min(wanted, self.min_run__cap_s))
+            min_run_s = estimate_s * self.min_run__batch_factor
+        return to_us(min(min_run_s, self.min_run__cap_s))
 
 
 class OperatorSettings(NamedTuple):
-    """All that a properties file holds."""
+    """The contents of a properties file."""
 
     policy: Policy
-    profile: "Profile | None" = None  # None: PBS scripts are not taken
+    profile: "Profile | None" = None  # None: PBS scripts are not accepted
 
 
 def load_settings(path: str | None) -> OperatorSettings:
-    """Read the operators' properties; a name we do not know is refused, it is likely a slip."""
+    """Reads the operators' properties; an unknown name raises ConfigError, as it is likely a typing error."""
     if path is None:
         return OperatorSettings(Policy())
     values, lines = _read_properties(path)
-    ours = {name: value for name, value in values.items() if not name.startswith("pbs.")}
+    policy_values = {name: value for name, value in values.items() if not name.startswith("pbs.")}
     profile = None
     try:
-        policy = msgspec.convert(ours, Policy, strict=False)
-        if len(ours) < len(values):
+        policy = msgspec.convert(policy_values, Policy, strict=False)
+        if len(policy_values) < len(values):
             from tideusher.pbs.profile import ProfileError, parse_profile
 
             try:
                 profile = parse_profile(values)
             except ProfileError as error:
-                raise ConfigError(f"{path}{_at(error.name, lines)}: {error}") from None
-            if not policy.jobs__conditions:  # every script has a limit
+                raise ConfigError(f"{path}{_line_suffix(error.name, lines)}: {error}") from None
+            if not policy.jobs__conditions:  # every script has a time limit, which is a condition
                 raise ConfigError(f"{path}: pbs.default_queue needs jobs.conditions = true")
     except msgspec.ValidationError as error:
         names = re.findall(r"`(?:\$\.)?([^`]+)`", str(error))
-        raise ConfigError(f"{path}{_at(names[-1] if names else '', lines)}: {error}") from None
+        raise ConfigError(f"{path}{_line_suffix(names[-1] if names else '', lines)}: {error}") from None
     return OperatorSettings(policy, profile)
 
 
 def load_policy(path: str | None) -> Policy:
-    """The operators' properties less those for PBS scripts."""
+    """Reads the operators' properties and returns those that are not about PBS scripts."""
     return load_settings(path).policy
 
 
-def _at(name: str, lines: dict[str, int]) -> str:
-    """Where the setting stands, if it stands anywhere: a missing one is named by the first of its queue."""
+def _line_suffix(name: str, lines: dict[str, int]) -> str:
+    """Returns `:LINE` of a setting, for a missing one that of the first setting of its queue, or an empty string."""
     if name in lines:
         return f":{lines[name]}"
     first = min((line for other, line in lines.items() if other.startswith(name.rpartition(".")[0])), default=0)
@@ -241,7 +244,7 @@
 
 
 def _read_properties(path: str) -> tuple[dict[str, str], dict[str, int]]:
-    """All values by name, and the line in which each stands; a name that stands twice is refused."""
+    """Returns the values and the line numbers by name; a name that occurs twice raises ConfigError."""
     import javaproperties
 
     values: dict[str, str] = {}
