--- a/src/tideusher/cli_pbs.py
+++ b/src/tideusher/cli_pbs.py
@@ -98,14 +98,14 @@
     import secrets
     from datetime import datetime
 
-    from tideusher.pbs.ids import job_of, pbs_id
+    from tideusher.pbs.ids import native_name, pbs_id
     from tideusher.pbs.storage import compress_text
     from tideusher.wire.scripts import ScriptRequest
 
     script, options = _read(words)
     offset = datetime.now().astimezone().utcoffset()
     request = ScriptRequest(
-        ref or job_of(10 ** (REF_DIGITS - 1) + secrets.randbelow(9 * 10 ** (REF_DIGITS - 1))),
+        ref or native_name(10 ** (REF_DIGITS - 1) + secrets.randbelow(9 * 10 ** (REF_DIGITS - 1))),
         script.file,
         packed=compress_text(script.text),
         options=options,
--- a/src/tideusher/client.py
+++ b/src/tideusher/client.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from tideusher.pbs import Profile
-    from tideusher.pbs.translate import Run
+    from tideusher.pbs.translate import RunSettings
 
 
 class ServiceError(Exception):
@@ -72,7 +72,7 @@
 
         return msgspec.json.decode(self._call("GET", "/pbs"), type=Profile)
 
-    def script(self, job: str) -> "tuple[Run, bytes]":
+    def script(self, job: str) -> "tuple[RunSettings, bytes]":
         """Returns how to run the job's script, and its text as it was submitted."""
         from tideusher.pbs.storage import Damaged, unpack
 
--- a/src/tideusher/pbs/__init__.py
+++ b/src/tideusher/pbs/__init__.py
@@ -1,7 +1,7 @@
-"""Batch scripts with PBS directives, read and translated to native jobs.
+"""Reads batch scripts with PBS directives and translates them to native jobs.
 
-Pure: no I/O, no clock, no environment; all of it is passed in. `read_script` and `translate` are what
-programs call; both raise Refusal, whose text is one line for people. See docs/pbs.md.
+Does no I/O and reads neither clock nor environment: the caller passes in all input. The entry points are
+`read_script` and `translate`; both raise Refusal, whose message is one line for users. See docs/pbs.md.
 """
 
 from tideusher.pbs.profile import Profile, ProfileError, parse_profile
--- a/src/tideusher/pbs/options.py
+++ b/src/tideusher/pbs/options.py
@@ -1,4 +1,4 @@
-"""Options of PBS directives: which there are, and how a line of them is read."""
+"""The options of PBS directives and the parser of directive lines and command lines."""
 
 import getopt
 import shlex
@@ -7,7 +7,7 @@
 
 from tideusher.pbs.refusal import Refusal
 
-#: Options with a value, and those without, in both dialects.
+#: Options with a value and without, in both PBS dialects.
 WITH_VALUE = frozenset("aAcCeFGjJklmMNopPqrRStTuvWw" + "d")
 FLAGS = frozenset("fhIVxXz")
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Option:
-    """One option as written: `letter` without its dash, and where it stands."""
+    """One option as written, `letter` without its dash, and its location."""
 
     letter: str
     value: str
@@ -27,16 +27,16 @@
 
     @property
     def directive(self) -> str:
-        """As the user wrote it, more or less."""
+        """The option approximately as the user wrote it."""
         return f"-{self.letter} {self.value}".rstrip()
 
     def refuse(self, reason: str) -> Refusal:
-        """This option cannot be honoured."""
+        """Returns the Refusal of this option, for the caller to raise."""
         return Refusal(self.file, self.line, self.directive, reason)
 
 
 def split_line(text: str, file: str, line: int) -> list[str]:
-    """The words of a directive, quoted as a shell would; a word that begins with # begins a comment."""
+    """Splits a directive into words with shell quoting; a word that begins with # starts a comment."""
     if text.endswith("\\"):
         raise Refusal(file, line, text.strip(), "a directive ends with its line; it is not continued")
     try:
@@ -50,23 +50,26 @@
 
 
 def parse_words(words: Sequence[str], file: str, line: int = 0) -> list[Option]:
-    """Read words as getopt does; `line` 0: they are a command line, and are numbered instead."""
+    """Parses words as getopt does.
+
+    `line` 0 stands for a command line: each option then gets its position as the line number. Raises Refusal.
+    """
     options, operands = split_operands(words, file, line)
     if operands:
-        raise Refusal(file, line, operands[0], "this is no option: options begin with a dash and one letter")
+        raise Refusal(file, line, operands[0], "this is not an option: options begin with a dash and one letter")
     return options
 
 
 def split_operands(words: Sequence[str], file: str, line: int = 0) -> tuple[list[Option], list[str]]:
-    """The options in front, and the words behind them."""
+    """Returns the leading options and the words after them; raises Refusal."""
     try:
         pairs, operands = getopt.getopt(list(words), _GETOPT)
     except getopt.GetoptError as error:
         reason = "the option has no value" if error.opt in WITH_VALUE else "there is no such option"
         raise Refusal(file, line, f"-{error.opt}", reason) from None
-    found = []
+    parsed = []
     for number, (option, value) in enumerate(pairs, 1):
-        found.append(Option(option[1], value, file, line or number))
+        parsed.append(Option(option[1], value, file, line or number))
         if not value and option[1] in WITH_VALUE:
-            raise found[-1].refuse("the option has no value")
-    return found, operands
+            raise parsed[-1].refuse("the option has no value")
+    return parsed, operands
--- a/src/tideusher/pbs/profile.py
+++ b/src/tideusher/pbs/profile.py
@@ -1,4 +1,4 @@
-"""What PBS does not say, from the operators' properties: `pbs.*` (docs/pbs.md has the table)."""
+"""The operators' `pbs.*` properties: job settings that PBS has no directives for (listed in docs/pbs.md)."""
 
 import re
 from collections.abc import Mapping
@@ -13,8 +13,8 @@
 _AMOUNT = msgspec.Meta(ge=0, lt=1e9)
 _QUEUE_KEY = re.compile(r"pbs\.queue\.([A-Za-z][A-Za-z0-9_-]{0,31})\.([a-z_]+)")
 
-#: Options that nothing here honours: refused, unless the operator waives them by name.
-NOT_HONOURED = {
+#: Options without support, with the reason. They are refused unless the operator waives them by name.
+UNSUPPORTED = {
     "e": "files of output are not kept yet",
     "f": "a submission does not stay in the foreground",
     "F": "arguments are not passed to scripts",
@@ -38,7 +38,7 @@
 
 
 class ProfileError(ValueError):
-    """A property is wrong; `name` says which, the text says how."""
+    """A property is invalid; `name` is its name, the message gives the reason."""
 
     def __init__(self, name: str, reason: str) -> None:
         super().__init__(f"{name}: {reason}")
@@ -46,7 +46,7 @@
 
 
 class Queue(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One queue: what its jobs are called and get natively. Times in seconds, sizes in GB."""
+    """The native settings and limits of a queue's jobs. Times in seconds, sizes in GB."""
 
     owner: Annotated[str, msgspec.Meta(min_length=1)]
     jobclass: Annotated[str, msgspec.Meta(min_length=1)]
@@ -62,7 +62,7 @@
 
 
 class Profile(msgspec.Struct, frozen=True):
-    """All queues by name, the one for scripts that name none, and the directives that are waived."""
+    """All queues by name, the default queue, and the directives that the operator waives."""
 
     queues: dict[str, Queue]
     default_queue: str
@@ -70,28 +70,28 @@
 
 
 def parse_profile(properties: Mapping[str, str]) -> Profile:
-    """Check the `pbs.*` among the properties; raises ProfileError naming the first that is wrong."""
+    """Parses the `pbs.*` properties; raises ProfileError for the first invalid one."""
     queues: dict[str, dict[str, str]] = {}
     default, waive = "", frozenset[str]()
     for name, value in properties.items():
         if not name.startswith(PREFIX):
             continue
-        found = _QUEUE_KEY.fullmatch(name)
-        if found:
-            queues.setdefault(found[1], {})[found[2]] = value
+        match = _QUEUE_KEY.fullmatch(name)
+        if match:
+            queues.setdefault(match[1], {})[match[2]] = value
         elif name == "pbs.default_queue":
             default = value
         elif name == "pbs.waive":
-            waive = _waived(value)
+            waive = _parse_waived(value)
         else:
             raise ProfileError(name, "there is no such setting")
-    read = {queue: _queue(queue, values) for queue, values in queues.items()}
-    if default not in read:
+    parsed = {queue: _parse_queue(queue, values) for queue, values in queues.items()}
+    if default not in parsed:
         raise ProfileError("pbs.default_queue", f"there is no queue {default!r}" if default else "it is missing")
-    return Profile(read, default, waive)
+    return Profile(parsed, default, waive)
 
 
-def _queue(queue: str, values: dict[str, str]) -> Queue:
+def _parse_queue(queue: str, values: dict[str, str]) -> Queue:
     known = {field.name for field in msgspec.structs.fields(Queue)}
     for name, value in values.items():
         if name not in known:
@@ -101,21 +101,21 @@
     try:
         return msgspec.convert(values, Queue, strict=False)
     except msgspec.ValidationError as error:
-        # `... - at `$.mem_gb``, or "... missing required field `owner`"
-        named = re.findall(r"`(?:\$\.)?([a-z_]+)`", str(error))
-        name = f"pbs.queue.{queue}.{named[-1] if named else ''}"
+        # the message ends in "- at `$.mem_gb`", or in "missing required field `owner`"
+        fields = re.findall(r"`(?:\$\.)?([a-z_]+)`", str(error))
+        name = f"pbs.queue.{queue}.{fields[-1] if fields else ''}"
         raise ProfileError(name, re.sub(r" - at `.*", "", str(error))) from None
 
 
-def _waived(text: str) -> frozenset[str]:
-    """`-m,-M,-W umask,-l software`: options, and parts of -W and -l, that are passed over."""
+def _parse_waived(text: str) -> frozenset[str]:
+    """Parses the waived options and parts of -W and -l, such as `-m,-M,-W umask,-l software`."""
     names = set()
     for part in filter(None, (" ".join(word.split()) for word in text.split(","))):
         option, _, name = part.partition(" ")
         letter = option.removeprefix("-")
         if option != f"-{letter}" or letter not in FLAGS | WITH_VALUE:
             raise ProfileError("pbs.waive", f"{part!r} is not an option such as -m")
-        if letter not in NOT_HONOURED and not (letter in "lW" and name):
+        if letter not in UNSUPPORTED and not (letter in "lW" and name):
             raise ProfileError("pbs.waive", f"{part!r} is honoured, and cannot be waived")
         names.add(part)
     return frozenset(names)
--- a/src/tideusher/pbs/storage.py
+++ b/src/tideusher/pbs/storage.py
@@ -1,7 +1,8 @@
-"""A script's text as it is kept with its job: compressed, in pieces that the state service takes.
+"""Stores a script with its job: compressed, and split into values that fit the state service's limits.
 
-One text line of JSON (`Run`), then the script's bytes as they came; both under one zstandard frame with
-a checksum, in base64, cut into values. The library is loaded with the first script, never at a start.
+The content is one line of JSON (`RunSettings`), followed by the script's bytes as submitted. Both are compressed into
+one zstandard frame with a checksum, encoded in base64 and split into values. The compression library is loaded with
+the first script and not at start-up.
 """
 
 import base64
@@ -11,62 +12,66 @@
 import msgspec
 
 from tideusher.pbs.script import MAX_SCRIPT
-from tideusher.pbs.translate import Run
+from tideusher.pbs.translate import RunSettings
 
-#: What the rest of an acceptance may take of a transaction's 64 KiB, and of a value beside the text.
-ROOM_OF_JOB, ROOM_OF_VALUE = 10 * 1024, 64
+#: Bytes reserved in the 64 KiB of an accepting transaction for everything but the script, and in a value for
+#: everything but the text.
+RESERVED_TXN_BYTES, RESERVED_VALUE_BYTES = 10 * 1024, 64
 MAX_TXN = 64 * 1024
-LEVEL = 9
+ZSTD_LEVEL = 9
 
 
 class ScriptTooLarge(ValueError):
-    """The script does not fit; the message has its size and the room."""
+    """The script is too large to be stored; the message has its size and the max_bytes."""
 
 
 class Damaged(ValueError):
-    """What is kept is not what `pack` made."""
+    """The stored values are not what `pack` returned."""
 
 
 def compress_text(data: bytes) -> str:
-    """Compressed, as text for JSON."""
+    """Compresses data and returns it as base64 text for JSON."""
     import zstandard
 
-    return base64.b64encode(zstandard.ZstdCompressor(level=LEVEL, write_checksum=True).compress(data)).decode()
+    return base64.b64encode(zstandard.ZstdCompressor(level=ZSTD_LEVEL, write_checksum=True).compress(data)).decode()
 
 
-def decompress_text(text: str, most: int = MAX_SCRIPT) -> bytes:
-    """The inverse of `compress_text`, at most so many bytes whatever the frame says; raises Damaged."""
+def decompress_text(text: str, max_bytes: int = MAX_SCRIPT) -> bytes:
+    """Reverses `compress_text`; raises Damaged, also if the frame header states more than `max_bytes`."""
     import zstandard
 
     try:
         packed = base64.b64decode(text, validate=True)
         size = zstandard.frame_content_size(packed)
-        if 0 <= size <= most:  # looked at before any room is made for it
+        if 0 <= size <= max_bytes:  # checked before memory is allocated
             return zstandard.ZstdDecompressor().decompress(packed)
     except (binascii.Error, ValueError, zstandard.ZstdError) as error:
         raise Damaged(f"not a packed script: {error}") from None
-    raise Damaged(f"it says to unpack to {size} bytes; {most} are possible")
+    raise Damaged(f"it says to unpack to {size} bytes; {max_bytes} are possible")
 
 
-def pack(run: Run, text: bytes, value_bytes: int, most_values: int) -> list[dict[str, Any]]:
-    """The values that keep a script; raises TooLong if they would be more or larger than allowed.
+def pack(run: RunSettings, text: bytes, value_bytes: int, max_values: int) -> list[dict[str, Any]]:
+    """Returns the values that store a script; raises ScriptTooLarge if they exceed the limits.
 
-    `value_bytes`: the state service's limit of a value; `most_values`: how many the acceptance may write.
+    `value_bytes` is the state service's size limit of a value; `max_values` is the number of values that the
+    accepting transaction may write.
     """
     packed = compress_text(msgspec.json.encode(run) + b"\n" + text)
-    size = value_bytes - ROOM_OF_VALUE
-    room = min(size * most_values, MAX_TXN - ROOM_OF_JOB)
-    if len(packed) > room:
-        raise ScriptTooLarge(f"the script has {len(text)} bytes, packed {len(packed)}; {room} can be kept with a job")
+    size = value_bytes - RESERVED_VALUE_BYTES
+    max_bytes = min(size * max_values, MAX_TXN - RESERVED_TXN_BYTES)
+    if len(packed) > max_bytes:
+        raise ScriptTooLarge(
+            f"the script has {len(text)} bytes, packed {len(packed)}; {max_bytes} can be kept with a job"
+        )
     return [{"z": packed[at : at + size]} for at in range(0, len(packed), size)]
 
 
-def unpack(values: list[dict[str, Any]]) -> tuple[Run, bytes]:
-    """What `pack` was given; raises Damaged."""
-    head, newline, text = decompress_text("".join(value["z"] for value in values), MAX_SCRIPT + MAX_TXN).partition(
+def unpack(values: list[dict[str, Any]]) -> tuple[RunSettings, bytes]:
+    """Reverses `pack`: returns the run settings and the script's text; raises Damaged."""
+    header, newline, text = decompress_text("".join(value["z"] for value in values), MAX_SCRIPT + MAX_TXN).partition(
         b"\n"
     )
     try:
-        return msgspec.json.decode(head, type=Run), text
+        return msgspec.json.decode(header, type=RunSettings), text
     except msgspec.DecodeError as error:
-        raise Damaged(f"not a kept script: {error}") from None
+        raise Damaged(f"not a stored script: {error}") from None
