--- a/src/tideusher/pbs/storage.py
+++ b/src/tideusher/pbs/storage.py
@@ -22,7 +22,7 @@
 
 
 class ScriptTooLarge(ValueError):
-    """The script is too large to be stored; the message has its size and the max_bytes."""
+    """The script is too large to be stored; the message has its size and the limit."""
 
 
 class Damaged(ValueError):
